--- a/bench/placement.py
+++ b/bench/placement.py
@@ -8,7 +8,7 @@
   at every turn;
 - ``improve``: :func:`dunlinpoint.experts.placement.improve` at every turn;
 - ``weighed``: the same, only where it saves enough of a pass for what it
-  moves, by the rule of :mod:`dunlinpoint.experts.lead`.
+  moves, by the rule of :mod:`dunlinpoint.experts.leader`.
 
 Printed for each: mean step load over what even loads would give (skew),
 experts moved a turn, and planning time in ms a turn. It exits 1 when a ratio
@@ -27,7 +27,7 @@
 import attrs
 
 from dunlinpoint.config import document as config
-from dunlinpoint.experts import placement, worth
+from dunlinpoint.experts import benefit, placement
 
 BOUNDS = os.path.join(os.path.dirname(__file__), "bounds.json")
 PASS_MS = 60.0
@@ -96,7 +96,7 @@
 
 
 def improve(size, mapping, counts):
-    room = placement.Room(size.places, size.spare, size.spare * size.sets)
+    room = placement.RankCapacity(size.places, size.spare, size.spare * size.sets)
     return placement.improve(mapping, counts, room)
 
 
@@ -105,15 +105,15 @@
     proposed = improve(size, mapping, counts)
     before = placement.step_load(mapping, counts)
     after = placement.step_load(proposed, counts)
-    saved_ms = worth.saved_ms(PASS_MS, before, after)
+    saved_ms = benefit.saved_ms(PASS_MS, before, after)
     moved = placement.moved(mapping, proposed)
-    pays = saved_ms >= worth.least_saved_ms(shape, moved, size.ranks)
+    pays = saved_ms >= benefit.min_saved_ms(shape, moved, size.ranks)
     return proposed if pays else mapping
 
 
 def run(size, policy, turns):
     """Skew, moves and planning time of *policy*, averaged over the turns."""
-    mapping = placement.in_turn(size.sets, size.experts, size.ranks)
+    mapping = placement.round_robin(size.sets, size.experts, size.ranks)
     skew = moved = 0
     spent = 0.0
     for counts in trace(size, turns):
--- a/dunlinpoint/__main__.py
+++ b/dunlinpoint/__main__.py
@@ -1,8 +1,8 @@
 """``dunlinpoint`` and ``python -m dunlinpoint``: where every process begins."""
 
-from dunlinpoint import early
+from dunlinpoint import startup
 
-early.prepare()
+startup.prepare()
 
 from dunlinpoint.cli import daemon  # noqa: E402
 
--- a/dunlinpoint/agent/announce.py
+++ b/dunlinpoint/agent/announce.py
@@ -36,7 +36,7 @@
         return cls(links, list(controls), [], counters)
 
     @defer.inlineCallbacks
-    def tell(self, beat):
+    def send_heartbeat(self, beat):
         """Send one ``Heartbeat``; its reply, or ``None`` after a failure."""
         addresses = self.known + [a for a in self.seeds if a not in self.known]
         host, port = addresses[self.index % len(addresses)]
--- a/dunlinpoint/agent/server.py
+++ b/dunlinpoint/agent/server.py
@@ -82,14 +82,14 @@
     def from_config(cls, settings, reactor, counters):
         """An agent that has not yet been heard by control."""
         announcer = announce.Announcer.from_config(reactor, settings.controls, counters)
-        ticks = clock.Clock(reactor)
+        ms_clock = clock.Clock(reactor)
         return cls(
             settings,
-            ticks,
+            ms_clock,
             counters,
             announcer,
-            streams.Streams(ticks),
-            keys.Keys(ticks),
+            streams.Streams(ms_clock),
+            keys.Keys(ms_clock),
             rpc.Links(reactor, Agent.Client, BACKUP_TIMEOUT_MS),
         )
 
@@ -253,7 +253,7 @@
 
     yield treq.collect(response, collect)
     if not ended:
-        raise errors.Lost("engine stream ended early")
+        raise errors.OutcomeUnknown("engine stream ended early")
     stream.finish()
 
 
@@ -280,7 +280,7 @@
         incarnation=settings.incarnation,
         group=settings.group,
     )
-    reply = yield state.announcer.tell(beat)
+    reply = yield state.announcer.send_heartbeat(beat)
     if reply is not None:
         state.lease_ms = reply.lease_ms
         take_document(state, reply.document)
--- a/dunlinpoint/cli/ctl.py
+++ b/dunlinpoint/cli/ctl.py
@@ -34,7 +34,7 @@
 from dunlinpoint.config import packed
 from dunlinpoint.control import discovery
 from dunlinpoint.routing import owners
-from dunlinpoint.suspects import register
+from dunlinpoint.suspects import registry
 from dunlinpoint.wire import errors, rpc
 from dunlinpoint.wire.gen.dunlin import Agent, Control, ttypes
 
@@ -284,15 +284,15 @@
         for address, shown in (yield views(reactor, self.controls)):
             if isinstance(shown, Exception):
                 continue
-            found = register.Register()
+            found = registry.Registry()
             for report in shown.reports:
-                found.take(report, 0)
+                found.apply_report(report, 0)
             for digest, suspect in found.suspect_by_digest.items():
                 line = {"control": address, "digest": digest.hex()}
-                line["standing"] = suspect.standing().value
+                line["standing"] = suspect.suspect_status().value
                 line["age_ms_by_endpoint"] = {
                     life: -ended_ms
-                    for life, ended_ms in suspect.ended_ms_by_life.items()
+                    for life, ended_ms in suspect.ended_ms_by_incarnation.items()
                 }
                 print(json.dumps(line))
         return 0
--- a/dunlinpoint/cli/daemon.py
+++ b/dunlinpoint/cli/daemon.py
@@ -17,7 +17,7 @@
 from twisted.internet import defer, reactor, task
 from twisted.web import server
 
-from dunlinpoint import callers, clock, logs
+from dunlinpoint import clock, http_site, logs
 from dunlinpoint.agent import server as agent_server
 from dunlinpoint.cli import checks, flags
 from dunlinpoint.control import server as control_server
@@ -67,12 +67,12 @@
             flags.counters(reactor, self.metrics, self.statsd, "entry"),
         )
         entry.view.follow(reactor)
-        site = callers.Site(entry_app.make_app(entry).resource())
+        site = http_site.Site(entry_app.make_app(entry).resource())
         reactor.listenTCP(port, site, interface=self.host)
 
         @defer.inlineCallbacks
         def stop():
-            entry.life.close()
+            entry.lifecycle.close()
             ends_ms = entry.clock.now() + ENTRY_DRAIN_MS
             yield wait_idle(lambda: entry.in_flight, ENTRY_DRAIN_MS)
             yield site.close_all(entry.clock, ends_ms)
--- a/dunlinpoint/clock.py
+++ b/dunlinpoint/clock.py
@@ -42,11 +42,11 @@
         """The current time in milliseconds (``int``)."""
         return int(self.reactor.seconds() * MS_PER_SECOND)
 
-    def later(self, delay_ms, func, *args):
+    def call_later(self, delay_ms, func, *args):
         """Call *func* after *delay_ms* milliseconds; returns the delayed call."""
         return self.reactor.callLater(delay_ms / MS_PER_SECOND, func, *args)
 
-    def pause(self, ms):
+    def sleep(self, ms):
         """A Deferred that fires after *ms* milliseconds."""
         return task.deferLater(self.reactor, seconds(ms), lambda: None)
 
--- a/dunlinpoint/control/discovery.py
+++ b/dunlinpoint/control/discovery.py
@@ -46,7 +46,7 @@
     heard_by_id: dict = attrs.field(factory=dict)
     shown_ms_by_address: dict = attrs.field(factory=dict)
 
-    def reseed(self, seeds):
+    def set_seeds(self, seeds):
         """Take *seeds* in the place of those told before."""
         self.seeds = list(seeds)
 
--- a/dunlinpoint/control/followers.py
+++ b/dunlinpoint/control/followers.py
@@ -11,65 +11,67 @@
 import attrs
 
 # Four long polls: an entry whose poll is answered late is still one.
-KEEP_MS = 4000
+ENTRY_TIMEOUT_MS = 4000
 # How often it is looked which entries have not asked for so long.
 LOOK_MS = 250
 
 
 @attrs.frozen
-class Place:
+class Position:
     """Which entry of its zone one is (0 up), of how many, and the same of all zones."""
 
-    place: int
-    places: int
-    entry: int
-    entries: int
+    zone_index: int
+    zone_entries: int
+    entry_index: int
+    entry_count: int
 
 
 # A follower without a name is no entry.
-NO_ENTRY = Place(0, 0, 0, 0)
+NO_ENTRY = Position(0, 0, 0, 0)
 
 
 @attrs.define
 class Followers:
     """When each entry last asked, by its zone and name.
 
-    ``place_by_entry`` is worked out when they have changed: there are some hundred
+    ``position_by_entry`` is worked out when they have changed: there are some hundred
     entries, and each asks every second.
     """
 
     asked_ms_by_entry: dict = attrs.field(factory=dict)
-    place_by_entry: dict = attrs.field(factory=dict)
+    position_by_entry: dict = attrs.field(factory=dict)
     looked_ms: int = 0
 
-    def place(self, zone, name, now):
-        """The ``Place`` of entry *name* of *zone*; without a name it is no entry."""
+    def position_of(self, zone, name, now):
+        """The ``Position`` of entry *name* of *zone*; without a name it is no entry."""
         if not name:
             return NO_ENTRY
         self.asked_ms_by_entry[zone, name] = now
         if now - self.looked_ms >= LOOK_MS:
             self._forget(now)
-        if (zone, name) not in self.place_by_entry:
+        if (zone, name) not in self.position_by_entry:
             self._arrange()
-        return self.place_by_entry[zone, name]
+        return self.position_by_entry[zone, name]
 
     def _forget(self, now):
         """Drop entries that have not asked for a while."""
         self.looked_ms = now
-        silent = [e for e, at in self.asked_ms_by_entry.items() if now - at > KEEP_MS]
+        silent = [
+            e for e, at in self.asked_ms_by_entry.items() if now - at > ENTRY_TIMEOUT_MS
+        ]
         for entry in silent:
             del self.asked_ms_by_entry[entry]
         if silent:
-            self.place_by_entry = {}
+            self.position_by_entry = {}
 
     def _arrange(self):
         """Number the entries, of each zone and of all."""
         entries = sorted(self.asked_ms_by_entry)
         sizes = collections.Counter(zone for zone, _ in entries)
         seen = collections.Counter()
-        self.place_by_entry = {}
+        self.position_by_entry = {}
         for number, entry in enumerate(entries):
             zone, _ = entry
-            place = Place(seen[zone], sizes[zone], number, len(entries))
-            self.place_by_entry[entry] = place
+            position = Position(seen[zone], sizes[zone], number, len(entries))
+            self.position_by_entry[entry] = position
             seen[zone] += 1
--- a/dunlinpoint/control/operators.py
+++ b/dunlinpoint/control/operators.py
@@ -28,7 +28,7 @@
 
 
 @attrs.define
-class Numbers:
+class NumberCache:
     """The console's number of the document in force, read once a version."""
 
     version: int = 0
--- a/dunlinpoint/control/server.py
+++ b/dunlinpoint/control/server.py
@@ -23,7 +23,7 @@
 from dunlinpoint.config import document as config
 from dunlinpoint.control import acceptor as acceptors
 from dunlinpoint.control import agreement, discovery, followers, membership, voters
-from dunlinpoint.suspects import register
+from dunlinpoint.suspects import registry
 from dunlinpoint.wire import errors, rpc
 from dunlinpoint.wire.gen.dunlin import Control, ttypes
 
@@ -78,7 +78,7 @@
     waiting: list = attrs.field(factory=list)
     followers: followers.Followers = attrs.field(factory=followers.Followers)
     peer_revision_by_address: dict = attrs.field(factory=dict)
-    suspects: register.Register = attrs.field(factory=register.Register)
+    suspects: registry.Registry = attrs.field(factory=registry.Registry)
 
     @classmethod
     def from_config(cls, settings, reactor, counters):
@@ -89,17 +89,17 @@
             settings.founders,
             settings.bootstrap,
         )
-        ticks = clock.Clock(reactor)
+        ms_clock = clock.Clock(reactor)
         own = voters.Voter(local.node_id, settings.host, settings.port, settings.zone)
-        known = discovery.Controls(own, list(settings.seeds), ticks.now())
+        known = discovery.Controls(own, list(settings.seeds), ms_clock.now())
         links = rpc.Links(reactor, Control.Client, PEER_TIMEOUT_MS)
 
         def everyone():
-            return known.addresses(local.committed.voters, ticks.now())
+            return known.addresses(local.committed.voters, ms_clock.now())
 
         state = cls(
             settings,
-            ticks,
+            ms_clock,
             counters,
             agreement.Peers(local, links.to, everyone),
             known,
@@ -163,7 +163,7 @@
         with *changes_only* no more of the members than has changed since *revision*.
         """
         now = self.clock.now()
-        place = self.followers.place(zone, follower, now)
+        position = self.followers.position_of(zone, follower, now)
         local = self.peers.local
         unchanged = revision == self.membership.revision
         changes = None
@@ -194,10 +194,10 @@
             settled=local.settled and local.votes,
             lease_ms=self.membership.lease_ms,
             node_id=local.node_id,
-            place=place.place,
-            places=place.places,
-            entry=place.entry,
-            entries=place.entries,
+            place=position.zone_index,
+            places=position.zone_entries,
+            entry=position.entry_index,
+            entries=position.entry_count,
         )
 
     def known_controls(self):
@@ -259,7 +259,7 @@
         if wait_ms and not is_news:
             changed = defer.Deferred()
             state.waiting.append(changed)
-            timer = state.clock.later(wait_ms, state.wake, changed)
+            timer = state.clock.call_later(wait_ms, state.wake, changed)
             yield changed
             if timer.active():
                 timer.cancel()
@@ -269,7 +269,9 @@
     def report(self, reports):
         state = self.state
         now = state.clock.now()
-        news = [report for report in reports if state.suspects.take(report, now)]
+        news = [
+            report for report in reports if state.suspects.apply_report(report, now)
+        ]
         state.counters.incr("crash_reports", len(news))
         if news:
             state.changed()
--- a/dunlinpoint/control/tests/test_recovery.py
+++ b/dunlinpoint/control/tests/test_recovery.py
@@ -151,7 +151,7 @@
 
 def put(net, host, doc):
     return cluster.result(
-        operators.replace(task.Clock(), net.peers(host), operators.Numbers(), doc)
+        operators.replace(task.Clock(), net.peers(host), operators.NumberCache(), doc)
     )
 
 
--- a/dunlinpoint/entry/app.py
+++ b/dunlinpoint/entry/app.py
@@ -21,12 +21,12 @@
 from klein import Klein
 from twisted.internet import defer
 
-from dunlinpoint import clock, life, logs, metrics
+from dunlinpoint import clock, lifecycle, logs, metrics
 from dunlinpoint.config import document as config
 from dunlinpoint.config import packed
 from dunlinpoint.entry import limits
 from dunlinpoint.follow import view
-from dunlinpoint.routing import notices, owners, pick
+from dunlinpoint.routing import endpoint_signals, owners, pick
 from dunlinpoint.wire import errors, rpc
 from dunlinpoint.wire.gen.dunlin import Agent, ttypes
 
@@ -52,7 +52,7 @@
     picker: pick.Picker
     work: limits.Work = attrs.field(factory=limits.Work)
     in_flight: int = 0
-    life: life.Life = attrs.field(factory=life.begin)
+    lifecycle: lifecycle.Lifecycle = attrs.field(factory=lifecycle.begin)
 
     @classmethod
     def from_config(cls, reactor, zone, controls, counters):
@@ -102,7 +102,7 @@
         member = entry.picker.pick(members, entry.clock.now(), tried)
         if member is None:
             break
-        tried.add(pick.life(member))
+        tried.add(pick.incarnation_key(member))
         for _ in range(2):
             try:
                 yield entry.link(member).call("start", order)
@@ -110,14 +110,16 @@
             except ttypes.Refused as refused:
                 entry.counters.retried(refused.reason)
                 now = entry.clock.now()
-                notice = notices.Notice(rest_ms=refused.retry_after_ms)
-                entry.picker.notices.take(pick.life(member), notice, now, now)
+                notice = endpoint_signals.Signal(backoff_ms=refused.retry_after_ms)
+                entry.picker.signals.apply(
+                    pick.incarnation_key(member), notice, now, now
+                )
                 break
             except errors.NotSent:
                 entry.counters.retried("agent_unreachable")
-                entry.picker.failed(pick.life(member), entry.clock.now())
+                entry.picker.failed(pick.incarnation_key(member), entry.clock.now())
                 break
-            except errors.Lost:
+            except errors.OutcomeUnknown:
                 entry.counters.retried("start_lost")
         else:
             return member
@@ -131,7 +133,7 @@
     @web.route("/v1/generate", methods=["POST"])
     @defer.inlineCallbacks
     def generate(request):
-        if entry.life.is_stopping():
+        if entry.lifecycle.is_stopping():
             entry.counters.refused("draining")
             return final(request, 503, {"outcome": "not_run"}, RETRY_AFTER_S)
         body = json.loads(request.content.read() or b"{}")
@@ -156,7 +158,7 @@
                 entry.counters.refused("no_engine")
                 answer = {"request_id": request_id, "outcome": "not_run"}
                 return final(request, 503, answer, RETRY_AFTER_S)
-            entry.picker.began(pick.life(member))
+            entry.picker.began(pick.incarnation_key(member))
             request.setHeader("content-type", "application/x-ndjson")
             request.setHeader("x-request-id", request_id)
             last = yield relay(entry, request, member, request_id)
@@ -174,12 +176,12 @@
             entry.in_flight -= 1
             entry.work.leave(order.workspace)
             if member is not None:
-                entry.picker.ended(pick.life(member))
+                entry.picker.ended(pick.incarnation_key(member))
 
     @web.route("/v1/call/<operation>", methods=["POST"])
     @defer.inlineCallbacks
     def call(request, operation):
-        if entry.life.is_stopping():
+        if entry.lifecycle.is_stopping():
             entry.counters.refused("draining")
             return final(request, 503, {"outcome": "not_run"}, RETRY_AFTER_S)
         request_id = request.getHeader("x-request-id") or uuid.uuid4().hex
@@ -300,7 +302,7 @@
     except errors.NotSent:
         entry.counters.refused("agent_unreachable")
         return 503, {"outcome": "not_run"}, RETRY_AFTER_S
-    except errors.Lost:
+    except errors.OutcomeUnknown:
         entry.counters.incr("gave_up.call_lost")
         return 504, {"outcome": "unknown", "key": key}, RETRY_AFTER_S
     if result.outcome == "done":
--- a/dunlinpoint/experts/worth.py
+++ b/dunlinpoint/experts/benefit.py
@@ -28,7 +28,7 @@
 SKEW_NEWEST = 0.2
 
 
-def least_saved_ms(shape, moved, ranks):
+def min_saved_ms(shape, moved, ranks):
     """What a map that moves so many experts must save of a pass, in ms."""
     cost_weight = 1 - shape.skew_weight
     share = moved / (ranks * shape.sets)
@@ -41,12 +41,12 @@
 
 
 def room_of(shape, hurry=False):
-    """The ``Room`` of each rank for one change of map of *shape*."""
+    """The ``RankCapacity`` of each rank for one change of map of *shape*."""
     new = shape.spare * shape.sets
     if shape.copy_ms > 0:
         allowed_ms = HURRY_COPY_MS if hurry else COPY_MS
         new = min(new, max(1, int(allowed_ms / shape.copy_ms)))
-    return placement.Room(shape.places, shape.spare, new)
+    return placement.RankCapacity(shape.places, shape.spare, new)
 
 
 @attrs.define
--- a/dunlinpoint/experts/engine.py
+++ b/dunlinpoint/experts/engine.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class Calls:
+class EnginePaths:
     """Paths of an engine's own interface."""
 
     report: str = "/api/report"
@@ -38,7 +38,7 @@
     """The engine of one rank at *url*."""
 
     address: str
-    calls: Calls
+    calls: EnginePaths
     read_state: object
     http: treq.client.HTTPClient
 
--- a/dunlinpoint/experts/lead.py
+++ b/dunlinpoint/experts/leader.py
@@ -21,13 +21,13 @@
 from dunlinpoint.config import document as config
 from dunlinpoint.config import packed
 from dunlinpoint.experts import (
+    benefit,
     engine,
     gather,
     placement,
     reach,
     switch,
     window,
-    worth,
 )
 from dunlinpoint.follow import view
 
@@ -66,7 +66,7 @@
 
 
 @attrs.define
-class Lead:
+class Leader:
     """What the agent of rank 0 keeps between turns."""
 
     reach: reach.Reach
@@ -75,7 +75,7 @@
     counters: metrics.Counters
     service: str
     shape: config.Experts | None = None
-    urgency: worth.Urgency = attrs.field(factory=worth.Urgency)
+    urgency: benefit.Urgency = attrs.field(factory=benefit.Urgency)
     window: window.Window = attrs.field(factory=window.Window)
     rng: random.Random = attrs.field(factory=random.Random)
     epoch: int | None = None
@@ -87,14 +87,14 @@
     idle: bool = False
     following: bool = False
     standing: tuple | None = None
-    on_standing: list = attrs.field(factory=list)
+    on_group_state: list = attrs.field(factory=list)
 
     @classmethod
     def from_config(cls, reactor, handler, lead_view, counters, service):
         """A lead for the group of *handler*'s engine, one of *service*."""
-        ticks = clock.Clock(reactor)
-        ranks = reach.Reach(handler, lead_view, ticks, counters)
-        lead = cls(ranks, lead_view, ticks, counters, service)
+        ms_clock = clock.Clock(reactor)
+        ranks = reach.Reach(handler, lead_view, ms_clock, counters)
+        lead = cls(ranks, lead_view, ms_clock, counters, service)
         ranks.on_counts = lead.take_counts
         lead_view.on_document.append(lead.take)
         return lead
@@ -161,7 +161,7 @@
     if standing != lead.standing:
         lead.standing = standing
         log.info("group", group=own.group, epoch=own.epoch, open=bool(own.open))
-        for hear in lead.on_standing:
+        for hear in lead.on_group_state:
             hear(own)
 
 
@@ -236,7 +236,7 @@
     lead.map_version = version
     if not version and lead.shape is not None:
         shape = lead.shape
-        lead.mapping = placement.in_turn(shape.sets, shape.experts, len(states))
+        lead.mapping = placement.round_robin(shape.sets, shape.experts, len(states))
         return True
     if any(not s.experts for s in states.values()):
         lead.mapping = None
@@ -260,11 +260,11 @@
     even = placement.even_load(counts, group.size)
     before = placement.step_load(lead.mapping, counts)
     hurry = lead.urgency.is_due(lead.pass_ms, before / even)
-    proposed = placement.improve(lead.mapping, counts, worth.room_of(shape, hurry))
+    proposed = placement.improve(lead.mapping, counts, benefit.room_of(shape, hurry))
     after = placement.step_load(proposed, counts)
     moved = placement.moved(lead.mapping, proposed)
-    least = worth.least_saved_ms(shape, moved, group.size)
-    if worth.saved_ms(lead.pass_ms, before, after) < least:
+    least = benefit.min_saved_ms(shape, moved, group.size)
+    if benefit.saved_ms(lead.pass_ms, before, after) < least:
         return
     highest = max(max(s.map_version, s.prepared, s.armed) for s in states.values())
     version = max(highest, lead.last_version) + lead.rng.randint(1, VERSION_GAP)
@@ -281,7 +281,7 @@
         return
     lead.mapping, lead.map_version = proposed, version
     took_ms = lead.clock.now() - began_ms
-    lead.counters.timed("switch", took_ms)
+    lead.counters.observe_ms("switch", took_ms)
     lead.counters.incr("rebalanced")
     lead.counters.incr("experts_moved", moved)
     log.info(
@@ -300,7 +300,7 @@
 def run(reactor, lead):
     """Take turns until the reactor stops."""
     lead.view.wait_ms = FOLLOW_WAIT_MS
-    lead.view.body_pause_ms = BODY_PAUSE_MS
+    lead.view.min_body_interval_ms = BODY_PAUSE_MS
 
     def failed(failure):
         lead.counters.retried("turn_failed")
@@ -309,7 +309,7 @@
         return IDLE_TURN_MS
 
     def again(pause_ms):
-        lead.clock.later(pause_ms, take_turn)
+        lead.clock.call_later(pause_ms, take_turn)
 
     def take_turn():
         turn(lead).addErrback(failed).addCallback(again)
--- a/dunlinpoint/experts/placement.py
+++ b/dunlinpoint/experts/placement.py
@@ -12,7 +12,7 @@
 
 A map is in force only once its slowest rank has copied what is new to it, and
 what is popular may be other experts by then. So a change is kept small at
-every rank (:class:`Room`), and the sets that gain most come first; the next
+every rank (:class:`RankCapacity`), and the sets that gain most come first; the next
 change follows at once where more is to be gained.
 """
 
@@ -24,7 +24,7 @@
 CANDIDATES = 8
 
 
-def in_turn(sets, experts, ranks):
+def round_robin(sets, experts, ranks):
     """The map that assigns experts to ranks in turn."""
     return [
         [list(range(rank, experts, ranks)) for rank in range(ranks)]
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class Room:
+class RankCapacity:
     """What the ranks of a group can take.
 
     *places* is how many experts of a set a rank holds, *spare* how many that
@@ -112,7 +112,7 @@
 
     holders: list
     counts: list
-    room: Room
+    room: RankCapacity
     before: list
     ranks_by_expert: list
     copies: list
--- a/dunlinpoint/experts/rank.py
+++ b/dunlinpoint/experts/rank.py
@@ -9,8 +9,8 @@
 from zope.interface import implementer
 
 from dunlinpoint import clock, logs
+from dunlinpoint.experts import dispatcher, gather, messages, orders, window
 from dunlinpoint.experts import engine as engines
-from dunlinpoint.experts import gather, giver, messages, orders, window
 from dunlinpoint.wire import rpc
 from dunlinpoint.wire.gen.dunlin import Rank, ttypes
 
@@ -32,7 +32,7 @@
     engine: engines.Engine
     clock: clock.Clock
     asker: gather.Asker
-    giver: giver.Giver
+    giver: dispatcher.Giver
     read_ms: int | None = None
     fenced: bool = False
     counter: window.Counter = attrs.field(factory=window.Counter)
@@ -41,9 +41,9 @@
     @classmethod
     def from_config(cls, reactor, engine):
         """The handler of the agent beside *engine*."""
-        ticks = clock.Clock(reactor)
+        ms_clock = clock.Clock(reactor)
         asker = gather.Asker.from_config(reactor)
-        return cls(engine, ticks, asker, giver.Giver(engine, ticks))
+        return cls(engine, ms_clock, asker, dispatcher.Giver(engine, ms_clock))
 
     @defer.inlineCallbacks
     def ask(self, question):
@@ -147,7 +147,7 @@
         epoch=state.epoch,
         broken=not state.open,
     )
-    return announcer.tell(beat)
+    return announcer.send_heartbeat(beat)
 
 
 def announce(reactor, engine, announcer, address, every_ms):
--- a/dunlinpoint/experts/reach.py
+++ b/dunlinpoint/experts/reach.py
@@ -7,9 +7,9 @@
 
 from dunlinpoint import clock, logs, metrics
 from dunlinpoint.experts import (
+    dispatcher,
     engine,
     gather,
-    giver,
     messages,
     orders,
     rank,
@@ -52,13 +52,13 @@
     on_counts: object = lambda now, counts: None
     arming: switch.Arming = attrs.field(factory=switch.Arming)
     member_by_rank: dict = attrs.field(factory=dict)
-    unanswered: giver.Unanswered = attrs.field(init=False)
+    unanswered: dispatcher.Unanswered = attrs.field(init=False)
     silent_ms_by_rank: dict = attrs.field(factory=dict)
     counts: list = attrs.field(factory=list)
     counted_ms: int = 0
 
     def __attrs_post_init__(self):
-        self.unanswered = giver.Unanswered(self.clock)
+        self.unanswered = dispatcher.Unanswered(self.clock)
 
     def forget(self):
         """Another epoch began: ranks may be others."""
@@ -173,13 +173,13 @@
         if number != own_rank:
             called = called.at(self.member_by_rank[number].engine)
         text = orders.Order.from_body(body).text
-        copies = giver.COPIES if self.unanswered.lately() else 1
+        copies = dispatcher.COPIES if self.unanswered.lately() else 1
         statuses = yield defer.gatherResults(
             [called.order(text) for _ in range(copies)]
         )
         if 0 in statuses:
             self.unanswered.note()
-        return giver.best(statuses)
+        return dispatcher.best(statuses)
 
     def group(self, size, own_rank):
         """The ranks as :mod:`switch` wants them, for the agent of *own_rank*."""
@@ -206,7 +206,7 @@
             size,
             ask,
             order,
-            self.clock.pause,
+            self.clock.sleep,
             self.unanswered.lately,
             self.clock.now,
             self.mapping_of,
--- a/dunlinpoint/experts/switch.py
+++ b/dunlinpoint/experts/switch.py
@@ -36,7 +36,7 @@
 from twisted.internet import defer
 
 from dunlinpoint import clock, logs
-from dunlinpoint.experts import giver, orders
+from dunlinpoint.experts import dispatcher, orders
 
 log = logs.logger("experts")
 
@@ -126,7 +126,7 @@
     ``ask(ranks, dict)`` has the agents of *ranks* give an order, or none, to their
     engines and gives a Deferred of ``RankAnswer`` by rank of those that answered, as
     they stood after it; ``order(rank, dict)`` gives one to an engine directly, a
-    Deferred of its status or 0; ``pause(ms)`` gives one that fires later.
+    Deferred of its status or 0; ``sleep(ms)`` gives one that fires later.
     ``mapping_of(version)`` is the map that was to come, ``None`` if it is not known;
     ``orders_get_lost()`` tells whether orders went unanswered lately, ``now()`` the
     time in ms, and ``seen_ms`` is when the holder was last asked and answered.
@@ -135,7 +135,7 @@
     size: int
     ask: object
     order: object
-    pause: object
+    sleep: object
     orders_get_lost: object = lambda: False
     now: object = lambda: 0
     mapping_of: object = lambda version: None
@@ -215,12 +215,12 @@
         if not late:
             return states
         statuses = {r: answers[r].status for r in late if r in answers}
-        refused = [r for r, s in statuses.items() if s and s not in giver.OK]
+        refused = [r for r, s in statuses.items() if s and s not in dispatcher.OK]
         if refused:
             raise SwitchError(f"prepare refused at ranks {refused}")
         if max(waited, group.now() - began_ms) >= COPY_TIMEOUT_MS:
             raise SwitchError(f"ranks {late} did not hold the map in time")
-        yield group.pause(pause_ms)
+        yield group.sleep(pause_ms)
         waited += pause_ms
         pause_ms = POLL_MS
 
@@ -263,10 +263,10 @@
             # A deputy took the lead for dead and lifted the hold.
             raise SwitchError("the hold was lifted")
         pending = {r for r in pending if r not in states or states[r].armed != version}
-        if any(answers[r].status == giver.REFUSED for r in pending if r in states):
+        if any(answers[r].status == dispatcher.REFUSED for r in pending if r in states):
             return False
         if pending:
-            yield group.pause(POLL_MS)
+            yield group.sleep(POLL_MS)
     return True
 
 
@@ -304,7 +304,7 @@
             late += [r for r in ranks if r in states and states[r].prepared <= newest]
         if holder is not None and holder.step >= step - 1 and not late:
             break
-        yield group.pause(POLL_MS)
+        yield group.sleep(POLL_MS)
         waited += POLL_MS
     yield go(group, step, epoch)
 
@@ -319,7 +319,7 @@
         holder = states.get(group.holder)
         if holder is not None and holder.held != step:
             return
-        yield group.pause(POLL_MS)
+        yield group.sleep(POLL_MS)
 
 
 def ahead(group, plan, passes_per_s):
--- a/dunlinpoint/experts/tests/agents.py
+++ b/dunlinpoint/experts/tests/agents.py
@@ -12,7 +12,7 @@
 
 from dunlinpoint import clock as clocks
 from dunlinpoint import metrics
-from dunlinpoint.experts import gather, giver, rank, reach
+from dunlinpoint.experts import dispatcher, gather, rank, reach
 from dunlinpoint.experts.tests import ranks as standins
 from dunlinpoint.wire import errors
 from dunlinpoint.wire.gen.dunlin import ttypes
@@ -77,7 +77,7 @@
             engine,
             clocks.Clock(reactor),
             asker,
-            giver.Giver(engine, clocks.Clock(reactor)),
+            dispatcher.Giver(engine, clocks.Clock(reactor)),
         )
 
     def freeze(self, number, for_ms):
@@ -124,9 +124,9 @@
 
     def reach(self, number):
         """How the agent of rank *number* reaches the group as its lead or deputy."""
-        ticks = clocks.Clock(self.ranks.clock)
+        ms_clock = clocks.Clock(self.ranks.clock)
         found = reach.Reach(
-            self.handler_by_port[number], self, ticks, metrics.Counters(None)
+            self.handler_by_port[number], self, ms_clock, metrics.Counters(None)
         )
         found.member_by_rank = dict(enumerate(self.members()))
         return found
@@ -144,7 +144,8 @@
         net, reactor = self.network, self.network.ranks.clock
         outer = defer.Deferred()
         timer = reactor.callLater(
-            timeout_ms / 1000, lambda: outer.errback(errors.Lost(f"{self.port}"))
+            timeout_ms / 1000,
+            lambda: outer.errback(errors.OutcomeUnknown(f"{self.port}")),
         )
 
         def done(result):
@@ -165,7 +166,7 @@
             if self.port in net.dead:
                 if timer.active():
                     timer.cancel()
-                    outer.errback(errors.Lost(f"{self.port}: reset"))
+                    outer.errback(errors.OutcomeUnknown(f"{self.port}: reset"))
                 return
             net.messages_by_port[self.port] = net.messages_by_port.get(self.port, 0) + 1
             net.on_message(self.port, question)
--- a/dunlinpoint/experts/tests/demand.py
+++ b/dunlinpoint/experts/tests/demand.py
@@ -15,7 +15,7 @@
 import attrs
 
 from dunlinpoint.config import document as config
-from dunlinpoint.experts import placement, window, worth
+from dunlinpoint.experts import benefit, placement, window
 
 READING_MS = 100
 # Preparing, holding and arming without the copies: 0.2 to 0.3 s.
@@ -80,7 +80,7 @@
 
     shape: config.Experts
     ranks: int
-    room: placement.Room
+    room: placement.RankCapacity
     half_life_ms: int = window.HALF_LIFE_MS
     cost: float = 0.0
     moved: int = 0
@@ -89,7 +89,7 @@
     def follow(self, counts_by_reading):
         """Play all readings; returns this."""
         shape = self.shape
-        mapping = placement.in_turn(shape.sets, shape.experts, self.ranks)
+        mapping = placement.round_robin(shape.sets, shape.experts, self.ranks)
         seen = window.Window(self.half_life_ms)
         coming, in_force_ms, copied_ms = None, 0, 0
         costs = []
@@ -103,7 +103,7 @@
             by_set = chosen.by_set(shape.sets)
             even = placement.even_load(by_set, self.ranks)
             load = placement.step_load(mapping, by_set) / even
-            cost = 1 - worth.EXPERT_SHARE + worth.EXPERT_SHARE * load
+            cost = 1 - benefit.EXPERT_SHARE + benefit.EXPERT_SHARE * load
             costs.append(cost * (COPYING if now < copied_ms else 1))
             seen.add(now, counts, shape.sets)
             if coming is None:
@@ -124,6 +124,6 @@
         proposed = placement.improve(mapping, counts, self.room)
         after = placement.step_load(proposed, counts)
         moved = placement.moved(mapping, proposed)
-        least = worth.least_saved_ms(self.shape, moved, self.ranks)
-        saved = worth.saved_ms(pass_ms, before, after)
+        least = benefit.min_saved_ms(self.shape, moved, self.ranks)
+        saved = benefit.saved_ms(pass_ms, before, after)
         return proposed if saved >= least else None
--- a/dunlinpoint/experts/tests/test_demand.py
+++ b/dunlinpoint/experts/tests/test_demand.py
@@ -3,7 +3,7 @@
 import pytest
 
 from dunlinpoint.config import document as config
-from dunlinpoint.experts import placement, window, worth
+from dunlinpoint.experts import benefit, placement, window
 from dunlinpoint.experts.tests import demand
 
 # Few ranks with large experts, and many with small ones.
@@ -17,7 +17,7 @@
 
 
 def room_for_all(shape):
-    return placement.Room(shape.places, shape.spare, shape.spare * shape.sets)
+    return placement.RankCapacity(shape.places, shape.spare, shape.spare * shape.sets)
 
 
 @pytest.mark.parametrize(("shape", "ranks"), [(FEW, 12), (MANY, 24)])
@@ -28,7 +28,7 @@
     # Cause: ranks copied for up to 1.7 s, for demand of seconds ago. Grounds of
     # the bounds: 0.81 (few ranks) and 0.82 (many) of the cost on these seeds.
     counts = list(demand.readings(shape, SECONDS, 3000, seed=5))
-    room = worth.room_of(shape)
+    room = benefit.room_of(shape)
     found = demand.Follower(shape, ranks, room).follow(counts)
     before = demand.Follower(shape, ranks, room_for_all(shape), ALL_AT_ONCE_MS)
     before.follow(counts)
@@ -42,9 +42,9 @@
     # prompt, most passes longer for copies. Grounds of the bounds: maps that
     # are never changed after the first five seconds.
     counts = list(demand.readings(FEW, SECONDS, None, seed=5))
-    room = worth.room_of(FEW)
+    room = benefit.room_of(FEW)
     found = demand.Follower(FEW, 12, room).follow(counts)
-    first = placement.in_turn(FEW.sets, FEW.experts, 12)
+    first = placement.round_robin(FEW.sets, FEW.experts, 12)
     never = sum(
         placement.step_load(first, by_set(c, FEW))
         / placement.even_load(by_set(c, FEW), 12)
@@ -70,7 +70,7 @@
     # faded by half each 300 ms, and were in what each map was planned by. Grounds of
     # the bounds: 0.96, 0.94 and 0.94 of the cost on these seeds.
     counts = list(demand.readings(shape, SECONDS, 3000, seed=5))
-    room = worth.room_of(shape)
+    room = benefit.room_of(shape)
     found = demand.Follower(shape, ranks, room).follow(counts)
     monkeypatch.setattr(window, "LEAST_JUMP", 1.0)
     fading = demand.Follower(shape, ranks, room).follow(counts)
--- a/dunlinpoint/experts/tests/test_gather.py
+++ b/dunlinpoint/experts/tests/test_gather.py
@@ -5,7 +5,7 @@
 import pytest
 from twisted.internet import task
 
-from dunlinpoint.experts import gather, giver, orders, switch
+from dunlinpoint.experts import dispatcher, gather, orders, switch
 from dunlinpoint.experts.tests import agents
 from dunlinpoint.experts.tests import ranks as standins
 
@@ -223,7 +223,7 @@
         return None
 
     ranks = standins.Ranks(task.Clock(), lose)
-    beside = giver.Giver(agents.Engine(ranks, 2), agents.clocks.Clock(ranks.clock))
+    beside = dispatcher.Giver(agents.Engine(ranks, 2), agents.clocks.Clock(ranks.clock))
     body = {"operation": orders.PREPARE, "version": 7, "epoch": EPOCH, "mapping": []}
     given = []
     beside.give(orders.Order.from_body(body)).addCallback(given.append)
--- a/dunlinpoint/experts/tests/test_placement.py
+++ b/dunlinpoint/experts/tests/test_placement.py
@@ -18,9 +18,9 @@
     rng = random.Random(seed)
     experts, places = ranks * 4, 4 + spare
     counts = skewed(rng, 2, experts)
-    old = placement.in_turn(2, experts, ranks)
+    old = placement.round_robin(2, experts, ranks)
     for _ in range(3):
-        room = placement.Room(places, spare, new=spare)
+        room = placement.RankCapacity(places, spare, new=spare)
         new = placement.improve(old, counts, room)
         assert placement.step_load(new, counts) <= placement.step_load(old, counts)
         for before, after in zip(old, new, strict=True):
@@ -34,8 +34,10 @@
 
 def test_one_hot_expert_is_shared_by_several_ranks():
     counts = [[100.0] + [1.0] * 15]
-    old = placement.in_turn(1, 16, 4)
-    new = placement.improve(old, counts, placement.Room(places=6, spare=2, new=2))
+    old = placement.round_robin(1, 16, 4)
+    new = placement.improve(
+        old, counts, placement.RankCapacity(places=6, spare=2, new=2)
+    )
     holders = sum(0 in held for held in new[0])
     assert holders == 4
     assert placement.step_load(new, counts) < 0.35 * placement.step_load(old, counts)
@@ -46,8 +48,8 @@
     # expert is hot gets the copies, not the one that is nearly even.
     even = [1.0] * 15 + [1.2]
     hot = [40.0] + [1.0] * 15
-    old = placement.in_turn(2, 16, 4)
-    room = placement.Room(places=6, spare=2, new=1)
+    old = placement.round_robin(2, 16, 4)
+    room = placement.RankCapacity(places=6, spare=2, new=1)
     new = placement.improve(old, [even, hot], room)
     assert new[0] == old[0]
     assert sum(0 in held for held in new[1]) == 4
--- a/dunlinpoint/experts/tests/test_switch.py
+++ b/dunlinpoint/experts/tests/test_switch.py
@@ -5,8 +5,8 @@
 import pytest
 from twisted.internet import defer, task
 
-from dunlinpoint.experts import giver, switch
-from dunlinpoint.experts import lead as leads
+from dunlinpoint.experts import dispatcher, switch
+from dunlinpoint.experts import leader as leads
 from dunlinpoint.experts.tests import ranks as standins
 
 SIZE, EPOCH, PASS_MS = standins.SIZE, standins.EPOCH, standins.PASS_MS
@@ -72,15 +72,15 @@
     # held, and its rank is out of reach with it; the deputy looks at the
     # others. Cause: the hold stood at the lead's own rank.
     ranks = started()
-    lead = ranks.group()
+    leader = ranks.group()
 
     def freezing(number, order):
         if len(ranks.orders) >= dies_after:
             return defer.Deferred()
         return ranks.order(number, order)
 
-    lead.order = freezing
-    begin(ranks, group=lead)
+    leader.order = freezing
+    begin(ranks, group=leader)
     ranks.advance(600)
     deputy = ranks.group()
     ranks.unreachable = {switch.LEAD}
@@ -106,7 +106,7 @@
     # some ranks armed, all prepared. Nothing of that is there in the new epoch, and
     # the orders that are still on their way name the old one.
     ranks = started()
-    lead = ranks.group()
+    leader = ranks.group()
 
     def order(number, body):
         if len(ranks.orders) == restarts_after and ranks.epoch == EPOCH and ranks.open:
@@ -115,8 +115,8 @@
             return defer.succeed(0)
         return ranks.order(number, body)
 
-    lead.order = order
-    ended = begin(ranks, group=lead)
+    leader.order = order
+    ended = begin(ranks, group=leader)
     ranks.advance(2500)
     assert ended[0].check(switch.SwitchError)
     assert not any(rank.held or rank.armed for rank in ranks.by_rank)
@@ -170,9 +170,9 @@
     # Symptom: a change of map given up ("prepare refused") although every rank
     # holds it. Sequence: of three copies of an order one is carried out, one
     # refused because of that, one lost. Cause: taking the refusal for the answer.
-    assert giver.best([409, 202, 0]) == 202
-    assert giver.best([0, 409, 0]) == 409
-    assert giver.best([0, 0, 0]) == 0
+    assert dispatcher.best([409, 202, 0]) == 202
+    assert dispatcher.best([0, 409, 0]) == 409
+    assert dispatcher.best([0, 0, 0]) == 0
 
 
 def later(ranks, ms, action):
@@ -189,13 +189,13 @@
     # seen the hold a moment ago.
     ranks = started()
     fenced = []
-    lead = ranks.group()
-    lead.now = lambda: round(ranks.clock.seconds() * 1000)
+    leader = ranks.group()
+    leader.now = lambda: round(ranks.clock.seconds() * 1000)
 
     def states():
         seen = ranks.states().result
         if fenced:
-            seen.pop(lead.holder)
+            seen.pop(leader.holder)
         return later(ranks, 5, lambda: seen)
 
     def order(number, body):
@@ -204,8 +204,8 @@
             return defer.succeed(0)
         return ranks.order(number, body)
 
-    lead.states, lead.order = states, order
-    begin(ranks, group=lead)
+    leader.states, leader.order = states, order
+    begin(ranks, group=leader)
     ranks.advance(250 + offset_ms)
     fenced.append(True)
     deputy = ranks.group()
@@ -230,7 +230,7 @@
     def order(number, body):
         kind = body["operation"]
         if kind == "arm" and number == 3:
-            return defer.succeed(giver.REFUSED)
+            return defer.succeed(dispatcher.REFUSED)
         if kind == "arm" and number == 2:
             ranks.clock.callLater(0.9, ranks.carry_out, number, body)
             return defer.succeed(0)
@@ -257,7 +257,9 @@
     def order(number, body):
         refused = body["operation"] == "arm" and number == 3
         refused |= body["operation"] == "prepare" and body["version"] == 8
-        return defer.succeed(giver.REFUSED) if refused else ranks.order(number, body)
+        return (
+            defer.succeed(dispatcher.REFUSED) if refused else ranks.order(number, body)
+        )
 
     group.order = order
     ended = begin(ranks, group=group)
@@ -270,14 +272,14 @@
     # Symptom and cause as above. Sequence: the lead sees the hold, freezes for a
     # second, and wakes with its orders to arm next.
     ranks = started()
-    lead = ranks.group()
+    leader = ranks.group()
     now = []
-    lead.now = lambda: now[-1]
+    leader.now = lambda: now[-1]
     now.append(1000)
-    lead.see()
+    leader.see()
     now.append(1000 + switch.SEEN_MS + 1)
     ended = []
-    switch.arm(lead, lead.others, 7, 40, EPOCH).addBoth(ended.append)
+    switch.arm(leader, leader.others, 7, 40, EPOCH).addBoth(ended.append)
     assert ended[0].check(switch.SwitchError)
     assert not any(kind == "arm" for _, kind in ranks.orders)
 
--- a/dunlinpoint/follow/controls.py
+++ b/dunlinpoint/follow/controls.py
@@ -22,14 +22,14 @@
 class Follow:
     """One control instance as this process follows it.
 
-    *vouched_ms* is when it last held nothing newer than what we hold;
+    *confirmed_ms* is when it last held nothing newer than what we hold;
     *reports_revision* names the reports on requests that it has told.
     """
 
     link: rpc.Link
     revision: int = 0
     member_ids: set = attrs.field(factory=set)
-    vouched_ms: int | None = None
+    confirmed_ms: int | None = None
     answered_ms: int | None = None
     node_id: str = ""
     zone: str | None = None
@@ -45,16 +45,16 @@
     reactor: object
     seeds: list
     started_ms: int
-    follow_by_address: dict = attrs.field(factory=dict)
+    followed_by_address: dict = attrs.field(factory=dict)
 
     def answered_ms(self):
         """When any of them last answered, or ``None``."""
-        times = [f.answered_ms for f in self.follow_by_address.values()]
+        times = [f.answered_ms for f in self.followed_by_address.values()]
         return max((t for t in times if t is not None), default=None)
 
     def all(self):
         """Every ``Follow`` there is."""
-        return self.follow_by_address.values()
+        return self.followed_by_address.values()
 
     def update(self, known, now):
         """Follow the addresses *known*, drop others; the new ``Follow`` ones."""
@@ -63,20 +63,20 @@
         wanted = set(known)
         if not wanted or now - last_ms > LOST_MS:
             wanted |= set(self.seeds)
-        for address in [a for a in self.follow_by_address if a not in wanted]:
-            follow = self.follow_by_address.pop(address)
+        for address in [a for a in self.followed_by_address if a not in wanted]:
+            follow = self.followed_by_address.pop(address)
             follow.wanted = False
             follow.link.close()
         added = []
-        for host, port in sorted(wanted - set(self.follow_by_address)):
+        for host, port in sorted(wanted - set(self.followed_by_address)):
             link = rpc.Link(
                 self.reactor, host, port, Control.Client, CONTROL_TIMEOUT_MS
             )
-            follow = self.follow_by_address[host, port] = Follow(link)
+            follow = self.followed_by_address[host, port] = Follow(link)
             added.append(follow)
         return added
 
-    def vouched_ms(self, voting):
+    def confirmed_ms(self, voting):
         """When a majority of *voting* last held nothing newer, or ``None``.
 
         Whoever answers at a voter's address under another id has an empty
@@ -84,11 +84,11 @@
         """
         times = []
         for voter in voting:
-            follow = self.follow_by_address.get(voter.address)
+            follow = self.followed_by_address.get(voter.address)
             if follow is None or follow.node_id != voter.node_id:
                 continue
-            if follow.vouched_ms is not None:
-                times.append(follow.vouched_ms)
+            if follow.confirmed_ms is not None:
+                times.append(follow.confirmed_ms)
         needed = voters.majority(voting)
         if not voting or len(times) < needed:
             return None
--- a/dunlinpoint/follow/tests/test_view.py
+++ b/dunlinpoint/follow/tests/test_view.py
@@ -39,13 +39,13 @@
 
 def test_a_majority_of_voters_must_vouch():
     _, found, by_name = follower()
-    assert found.vouched_ms is None
+    assert found.confirmed_ms is None
     found.merge(by_name["a"], shown("a", document(1)), 10)
-    assert found.vouched_ms is None
+    assert found.confirmed_ms is None
     found.merge(by_name["b"], shown("b"), 30)
-    assert found.vouched_ms == 10
+    assert found.confirmed_ms == 10
     found.merge(by_name["c"], shown("c", settled=False), 50)
-    assert found.vouched_ms == 10
+    assert found.confirmed_ms == 10
 
 
 def test_an_empty_successor_does_not_vouch_for_the_voter_it_was():
@@ -53,7 +53,7 @@
     _, found, by_name = follower()
     found.merge(by_name["a"], shown("a", document(1)), 10)
     found.merge(by_name["b"], shown("b", node_id="new"), 30)
-    assert found.vouched_ms is None
+    assert found.confirmed_ms is None
 
 
 def test_what_is_known_to_be_old_is_not_vouched_for():
@@ -61,7 +61,7 @@
     _, found, by_name = follower()
     found.merge(by_name["a"], shown("a", document(1)), 10)
     found.merge(by_name["b"], shown("b", document(2, body=None)), 30)
-    assert found.vouched_ms is None
+    assert found.confirmed_ms is None
     assert by_name["b"].asks_bodies
 
 
@@ -89,10 +89,10 @@
     known = controls.Controls(clock, [("seed", 7000)], 0)
     assert [f.link.host for f in known.update([], 0)] == ["seed"]
     known.update([("a", 7000)], 10)
-    assert set(known.follow_by_address) == {("a", 7000)}
-    known.follow_by_address["a", 7000].answered_ms = 20
+    assert set(known.followed_by_address) == {("a", 7000)}
+    known.followed_by_address["a", 7000].answered_ms = 20
     known.update([("a", 7000)], 20 + controls.LOST_MS + 1)
-    assert set(known.follow_by_address) == {("a", 7000), ("seed", 7000)}
+    assert set(known.followed_by_address) == {("a", 7000), ("seed", 7000)}
 
 
 def test_a_list_that_says_nothing_new_changes_nothing():
@@ -160,7 +160,7 @@
 def test_a_follower_on_a_narrow_link_takes_documents_at_its_own_rhythm():
     # Guards against a lead's link full of documents that it hardly needs.
     clock, found, by_name = follower()
-    found.body_pause_ms = 2000
+    found.min_body_interval_ms = 2000
     found.merge(by_name["a"], shown("a", document(1)), 10)
     assert found.document.round == 1
     found.merge(by_name["a"], shown("a", document(2, 2, body=None)), 20)
@@ -180,7 +180,7 @@
         answer = shown(name)
         answer.entry, answer.entries = entry, entries
         found.merge(by_name[name], answer, 10)
-        return found.entry, found.entries
+        return found.entry_index, found.entry_count
 
     assert count("a", 4, 6) == (4, 6)
     assert count("b", 0, 1) == (4, 6)
--- a/dunlinpoint/follow/view.py
+++ b/dunlinpoint/follow/view.py
@@ -8,7 +8,7 @@
   keeps the members it last knew and finds out by trying them.
 - The document is that of the highest round any control has shown: an isolated
   control showing an older one cannot make the follower go back.
-- ``vouched_ms`` is the last moment at which a majority of the voters are
+- ``confirmed_ms`` is the last moment at which a majority of the voters are
   known to have held no newer document. Every accepted document is held by a
   majority of them before its operator hears of it, so one of those asked
   would have shown it. Work that a newer document may have forbidden (a key
@@ -30,7 +30,7 @@
 log = logs.logger("follow")
 
 # The longest a control holds a poll. It bounds how often an idle entry asks
-# (bytes between zones) and how old ``vouched_ms`` can grow in calm times.
+# (bytes between zones) and how old ``confirmed_ms`` can grow in calm times.
 WAIT_MS = 800
 # The pause between polls of one control, so that a stream of changes is
 # taken in batches.
@@ -79,18 +79,18 @@
     )
     voting: list = attrs.field(factory=list)
     on_document: list = attrs.field(factory=list)
-    on_news: list = attrs.field(factory=list)
+    on_change: list = attrs.field(factory=list)
     on_reports: list = attrs.field(factory=list)
     wants_reports: bool = False
     wait_ms: int = WAIT_MS
-    body_pause_ms: int = 0
+    min_body_interval_ms: int = 0
     body_ms: int | None = None
     lease_ms: int = 0
     follower: str = ""
-    place: int = 0
-    places: int = 1
-    entry: int = 0
-    entries: int = 1
+    zone_index: int = 0
+    zone_entries: int = 1
+    entry_index: int = 0
+    entry_count: int = 1
     entries_ms: int = 0
     generation: int = 0
     forgot_ms: int = 0
@@ -99,13 +99,15 @@
     @classmethod
     def from_config(cls, reactor, zone, seeds):
         """A view fed by the controls that *seeds* (``[(host, port)]``) lead to."""
-        ticks = clock.Clock(reactor)
-        return cls(ticks, zone, controls.Controls(reactor, list(seeds), ticks.now()))
+        ms_clock = clock.Clock(reactor)
+        return cls(
+            ms_clock, zone, controls.Controls(reactor, list(seeds), ms_clock.now())
+        )
 
     def merge(self, follow, shown, asked_ms):
         """Take in one control's ``View``, asked for at *asked_ms*."""
         self._merge(follow, shown, asked_ms)
-        for hear in self.on_news:
+        for hear in self.on_change:
             hear()
 
     def _merge(self, follow, shown, asked_ms):
@@ -114,8 +116,8 @@
         follow.answered_ms = now
         follow.zone = shown.zone
         follow.node_id = shown.node_id
-        if shown.places and (shown.zone == self.zone or self.places == 1):
-            self.place, self.places = shown.place, shown.places
+        if shown.places and (shown.zone == self.zone or self.zone_entries == 1):
+            self.zone_index, self.zone_entries = shown.place, shown.places
         self._count_entries(shown, now)
         if shown.unchanged:
             self._renew(follow, now + shown.lease_ms)
@@ -146,16 +148,16 @@
             self.body_ms = now
             self._enforce(document)
         if shown.settled:
-            follow.vouched_ms = asked_ms
+            follow.confirmed_ms = asked_ms
 
     def _count_entries(self, shown, now):
         """Take in which of how many entries this one is, of all zones.
 
         A control that has just started, or is cut off, knows of fewer than there are.
         """
-        fewer = (shown.entries or 0) < self.entries
+        fewer = (shown.entries or 0) < self.entry_count
         if shown.entries and (not fewer or now - self.entries_ms > FEWER_ENTRIES_MS):
-            self.entry, self.entries = shown.entry, shown.entries
+            self.entry_index, self.entry_count = shown.entry, shown.entries
             self.entries_ms = now
 
     def wants_body(self):
@@ -163,11 +165,12 @@
 
         A document of 1,400 routes is 51 KB, a tenth of a second of a link of 4 Mbit/s.
         With one each 0.3 s, from two controls, a lead's link was full, and its change
-        of map took 2.8 s. ``body_pause_ms`` spares that to who needs little of it.
+        of map took 2.8 s. ``min_body_interval_ms`` spares that to who needs little of
+        it.
         """
         if self.body_ms is None:
             return True
-        return self.clock.now() - self.body_ms >= self.body_pause_ms
+        return self.clock.now() - self.body_ms >= self.min_body_interval_ms
 
     def _drop(self, follow, endpoint_ids, now):
         """*follow* vouches for *endpoint_ids* no longer; some other may."""
@@ -245,7 +248,7 @@
             ]
         return live
 
-    def reseed(self, seeds):
+    def set_seeds(self, seeds):
         """Take *seeds* in the place of those told before."""
         self.controls.seeds = list(seeds)
 
@@ -255,9 +258,9 @@
         return [m for m in members if m.kind != discovery.KIND]
 
     @property
-    def vouched_ms(self):
+    def confirmed_ms(self):
         """When a majority of the voters last held nothing newer, or ``None``."""
-        return self.controls.vouched_ms(self.voting)
+        return self.controls.confirmed_ms(self.voting)
 
     @defer.inlineCallbacks
     def poll(self, follow):
@@ -298,7 +301,7 @@
         known |= {(m.host, m.port) for m in self.live(discovery.KIND)}
         for follow in self.controls.update(known, self.clock.now()):
             self._next(follow, 0)
-        self.clock.later(FOLLOW_MS, self.follow, reactor)
+        self.clock.call_later(FOLLOW_MS, self.follow, reactor)
 
     def _next(self, follow, pause_ms):
         def again(pause_ms):
@@ -312,4 +315,4 @@
             log.error("view_failed", error=failure.getErrorMessage())
             self._next(follow, RETRY_MS)
 
-        self.clock.later(pause_ms, run)
+        self.clock.call_later(pause_ms, run)
--- a/dunlinpoint/forward/admission.py
+++ b/dunlinpoint/forward/admission.py
@@ -15,7 +15,7 @@
 def admit(forward, request, arrived_ms):
     """The ``Call`` of *request*, or ``None`` after a final answer."""
     table = forward.table
-    if not table.version or forward.view.vouched_ms is None:
+    if not table.version or forward.view.confirmed_ms is None:
         answers.not_run(forward, request, "no_document")
         return None
     path = request.path.decode("latin-1")
@@ -27,7 +27,7 @@
     if table.keyed and not route.public:
         if forward.key_lease_ended():
             # This lasts as long as what cuts the entry off: seconds.
-            retry_ms = outage.heeded_ms(deadline_of(forward, request))
+            retry_ms = outage.max_retry_after_ms(deadline_of(forward, request))
             answers.answer(forward, request, 503, "document_not_vouched", retry_ms)
             return None
         workspace = table.workspace(answers.header(request, b"authorization"))
@@ -75,7 +75,7 @@
 @defer.inlineCallbacks
 def serve(forward, request):
     """Forward one request; every path ends in exactly one final answer."""
-    if forward.life.is_stopping():
+    if forward.lifecycle.is_stopping():
         # Taken now on a kept connection, it could still be running at the
         # end of the grace time and be cut.
         answers.not_run(forward, request, "stopping")
@@ -102,7 +102,9 @@
         answers.answer(forward, request, 429, "workspace_limit", answers.RETRY_AFTER_MS)
         return
     request.notifyFinish().addErrback(call.caller_left)
-    timer = forward.clock.later(call.deadline_ms - forward.clock.now(), call.expire)
+    timer = forward.clock.call_later(
+        call.deadline_ms - forward.clock.now(), call.expire
+    )
     try:
         yield start_up(forward, request, lambda: call.over, call.service)
         if not call.left:
--- a/dunlinpoint/forward/answers.py
+++ b/dunlinpoint/forward/answers.py
@@ -42,7 +42,7 @@
         forward.counters.refused(reason)
     else:
         forward.counters.incr(f"denied.{reason}")
-    vouched = forward.view.vouched_ms
+    vouched = forward.view.confirmed_ms
     log.warning(
         "answered_ourselves",
         request=header(request, forward.names.request_id),
@@ -75,7 +75,7 @@
     that a newer one has replaced; a caller told 404 for a route just added
     does not come back, one told 503 does.
     """
-    vouched = forward.view.vouched_ms
+    vouched = forward.view.confirmed_ms
     if forward.clock.now() - vouched > DENY_VOUCHED_MS:
         not_run(forward, request, f"{reason}_unsure")
     else:
@@ -84,7 +84,7 @@
 
 def finish(forward, request, body=b""):
     """Write *body*, end the answer, and close the connection while draining."""
-    if forward.life.is_draining():
+    if forward.lifecycle.is_draining():
         request.channel.persistent = False
         if not request.startedWriting:
             request.setHeader(b"connection", b"close")
--- a/dunlinpoint/forward/room.py
+++ b/dunlinpoint/forward/capacity.py
@@ -4,7 +4,7 @@
 
 from dunlinpoint import logs
 from dunlinpoint.forward import answers
-from dunlinpoint.routing import late, outage, pace
+from dunlinpoint.routing import admission_control, latency, outage
 
 log = logs.logger("entry")
 
@@ -13,13 +13,13 @@
 RETRY_MS = (500, 1500)
 # The same while long passes last. Those who come back sooner meet the same group, are
 # refused again, and have no try left.
-LASTING_RETRY_MS = (1800, 2600)
+OVERLOAD_RETRY_MS = (1800, 2600)
 # How long a request waits for room, as a part of the time in which its first event is
 # due: reading its prompt takes most of the rest.
 WAIT_SHARE = 0.5
 WAIT_MS = 300
 # How often it looks: a few times a pass.
-LOOK_MS = 25
+POLL_INTERVAL_MS = 25
 # The same for callers that wait their turn after an outage, which takes longer.
 TURN_LOOK_MS = 50
 
@@ -38,19 +38,21 @@
     if groups is None or call.group == group:
         return
     if call.group is not None:
-        groups.left(call.group)
+        groups.stream_ended(call.group)
     if group is not None:
-        groups.pace(group).began()
+        groups.controller(group).began()
     call.group = group
     if call.turn is not None:
         groups.queue.leave(call.turn)
         call.turn = None
 
 
-def is_late(call, now):
+def is_past_latency_target(call, now):
     """Whether the first event of *call* can't come within its aim any more."""
     route = call.route
-    return late.is_late(call.deadline_ms - now, route.timeout_ms, route.aim_ms)
+    return latency.is_past_latency_target(
+        call.deadline_ms - now, route.timeout_ms, route.aim_ms
+    )
 
 
 def leaves_ms(call):
@@ -58,9 +60,9 @@
 
     Its caller leaves without an event for a while, or has no time left for the rest.
     """
-    patience_ms = outage.patience_ms(call.route.aim_ms, call.route.pause_ms)
-    until_ms = call.heard_ms + patience_ms - outage.FIRST_EVENT_MS
-    return min(until_ms, call.deadline_ms - outage.ANSWER_MS)
+    event_timeout_ms = outage.event_timeout_ms(call.route.aim_ms, call.route.pause_ms)
+    until_ms = call.heard_ms + event_timeout_ms - outage.FIRST_EVENT_RESERVE_MS
+    return min(until_ms, call.deadline_ms - outage.TYPICAL_ANSWER_MS)
 
 
 def wait_until(call):
@@ -78,7 +80,7 @@
 
 def look_ms(call):
     """After how long *call* looks for room again."""
-    return LOOK_MS if call.turn is None else TURN_LOOK_MS
+    return POLL_INTERVAL_MS if call.turn is None else TURN_LOOK_MS
 
 
 def find(forward, call, by_group, now):
@@ -91,7 +93,7 @@
     if groups is None or call.group in by_group or not by_group:
         return Room.JOINED
     left_ms = call.deadline_ms - now
-    returned = pace.has_returned(left_ms, call.route.timeout_ms)
+    returned = admission_control.is_caller_retry(left_ms, call.route.timeout_ms)
     if call.group is not None:
         group = groups.choose(by_group, now, returned, forward.rng)
         join(forward, call, group or next(iter(by_group)))
@@ -101,13 +103,13 @@
         call.draw = forward.rng.random()
     # The first passes after an outage are long whatever is refused, and late callers
     # wait their turn there.
-    settled = [g for g in by_group if not forward.outages.opened_lately(g, now)]
+    settled = [g for g in by_group if not forward.outages.opened_recently(g, now)]
     usable = groups.not_overloaded(settled, now, returned, call.draw)
     usable += [group for group in by_group if group not in settled]
     note_overload(forward, call.service, groups, settled, now)
     if not usable:
         return Room.OVERLOADED
-    if is_late(call, now):
+    if is_past_latency_target(call, now):
         usable = open_to_late(forward, call, usable, now)
         if not usable:
             return Room.FULL
@@ -123,18 +125,18 @@
 
     In a group that opened lately it waits its turn for a slot.
     """
-    settled = [g for g in usable if not forward.outages.opened_lately(g, now)]
+    settled = [g for g in usable if not forward.outages.opened_recently(g, now)]
     if settled:
         return settled
     groups = forward.groups(call)
     if call.turn is None:
         left_ms = call.deadline_ms - call.arrived_ms
-        returned = pace.has_returned(left_ms, call.route.timeout_ms)
+        returned = admission_control.is_caller_retry(left_ms, call.route.timeout_ms)
         call.turn = not returned, leaves_ms(call), id(call)
         groups.queue.enter(call.turn)
-    if call.deadline_ms - now < outage.ANSWER_MS:
+    if call.deadline_ms - now < outage.TYPICAL_ANSWER_MS:
         return []
-    spare = groups.with_slots(usable)
+    spare = groups.free_slots(usable)
     is_next = groups.queue.ahead_of(call.turn) < sum(spare.values())
     return list(spare) if is_next else []
 
@@ -149,8 +151,8 @@
 def note_overload(forward, service, groups, by_group, now):
     """Log when long passes of a group begin, or cease, to have requests refused."""
     for group in by_group:
-        found = groups.pace(group)
-        share = found.share_let_in_lasting(now)
+        found = groups.controller(group)
+        share = found.long_window_admitted_share(now)
         key = service, group
         if (share < 1) == (key in forward.overloaded):
             continue
@@ -162,8 +164,8 @@
             service=service,
             group=group,
             on=share < 1,
-            lasting_ms=round(found.lasting.value, 1),
-            pause_ms=found.pause_ms,
+            lasting_ms=round(found.long_window.value, 1),
+            pause_ms=found.median_gap_ms,
             streams=found.in_flight,
         )
 
@@ -171,17 +173,17 @@
 def refuse(forward, call, found):
     """Refuse *call* for the want of room *found*, and say when to come back."""
     groups, now = forward.groups(call), forward.clock.now()
-    paces = [groups.pace(group) for group in groups.share_by_group]
+    paces = [groups.controller(group) for group in groups.share_by_group]
     lasting = found is Room.OVERLOADED
-    retry_ms = forward.rng.uniform(*(LASTING_RETRY_MS if lasting else RETRY_MS))
+    retry_ms = forward.rng.uniform(*(OVERLOAD_RETRY_MS if lasting else RETRY_MS))
     answers.answer(
         forward,
         call.request,
         503,
         found.value,
-        min(retry_ms, outage.heeded_ms(call.deadline_ms - now)),
+        min(retry_ms, outage.max_retry_after_ms(call.deadline_ms - now)),
         service=call.service,
-        pause_ms=[seen.pause_ms for seen in paces],
-        lasting_ms=[round(seen.lasting.value, 1) for seen in paces],
-        let_in=[round(seen.share_let_in(now), 2) for seen in paces],
+        pause_ms=[seen.median_gap_ms for seen in paces],
+        lasting_ms=[round(seen.long_window.value, 1) for seen in paces],
+        let_in=[round(seen.admitted_share(now), 2) for seen in paces],
     )
--- a/dunlinpoint/forward/exchange.py
+++ b/dunlinpoint/forward/exchange.py
@@ -19,7 +19,7 @@
 from twisted.web import http_headers
 
 from dunlinpoint import logs
-from dunlinpoint.forward import answers, pool, quarantine, room, routes
+from dunlinpoint.forward import answers, capacity, pool, quarantine, routes
 from dunlinpoint.forward import guard as guards
 from dunlinpoint.routing import pick
 
@@ -53,11 +53,11 @@
 def one_try(forward, call, member):
     """Send the request to *member*, and log how it ended: the try's state."""
     began_ms = forward.clock.now()
-    call.at_endpoint = forward.picker.record(pick.life(member)).in_flight
+    call.at_endpoint = forward.picker.record(pick.incarnation_key(member)).in_flight
     events_before = call.events.count
     state = yield send_to(forward, call, member)
     took_ms = forward.clock.now() - began_ms
-    forward.counters.timed("try", took_ms)
+    forward.counters.observe_ms("try", took_ms)
     if state == DONE:
         quarantine.served(forward, call)
     elif state == BROKEN and not call.over and call.events.count == events_before:
@@ -80,9 +80,9 @@
 @defer.inlineCallbacks
 def send_to(forward, call, member):
     """Send the request to *member*: the state of the try."""
-    name = pick.life(member)
+    name = pick.incarnation_key(member)
     forward.picker.began(name)
-    forward.picker.notices.sent(name, forward.clock.now())
+    forward.picker.signals.sent(name, forward.clock.now())
     guard = None
     try:
         connection = yield forward.pool.connect(
@@ -113,7 +113,7 @@
             guard.stop()
     if state == DONE:
         forward.picker.succeeded(name)
-        forward.outages.heard(member)
+        forward.outages.data_received(member)
         note_done(forward, call, member)
     elif state == FAILED:
         call.may_have_run = True
@@ -123,7 +123,7 @@
 def note_done(forward, call, member):
     """Log and time a request that got its endpoint's answer."""
     took_ms = forward.clock.now() - call.arrived_ms
-    forward.counters.timed("answer", took_ms)
+    forward.counters.observe_ms("answer", took_ms)
     log.info(
         "answered",
         request=text(call.request_id),
@@ -145,7 +145,7 @@
     priority = call.route.priority
     if call.workspace is not None and call.workspace.priority is not None:
         priority = call.workspace.priority
-    if call.streaming and room.is_late(call, now):
+    if call.streaming and capacity.is_past_latency_target(call, now):
         priority += LATE_PRIORITY
     return min(max(priority, 0), LEAST_URGENT)
 
@@ -187,9 +187,9 @@
     if call.request_id is not None and echoed != call.request_id:
         forward.counters.incr("dropped.foreign_answer")
         raise closing(connection, "an answer to another request")
-    notice = forward.read_notice(head.code, head.headers)
+    notice = forward.read_signal(head.code, head.headers)
     now = forward.clock.now()
-    forward.picker.notices.take(pick.life(member), notice, sent_ms, now)
+    forward.picker.signals.apply(pick.incarnation_key(member), notice, sent_ms, now)
     if head.headers.hasHeader(own.not_run) or head.code == 421:
         yield drained(connection, head)
         not_run(forward, member, head)
@@ -227,7 +227,7 @@
     if head.code == 503 and elsewhere and forward.outages.suspect(member, now):
         forward.counters.incr("endpoint.group_stands")
     else:
-        forward.picker.failed(pick.life(member), now)
+        forward.picker.failed(pick.incarnation_key(member), now)
 
 
 def closing(connection, why):
@@ -256,18 +256,18 @@
     def on_data(data):
         nonlocal last_ms
         now = forward.clock.now()
-        forward.picker.heard(pick.life(member), now)
-        forward.outages.heard(member)
+        forward.picker.data_received(pick.incarnation_key(member), now)
+        forward.outages.data_received(member)
         out = call.events.feed(data)
         if not out or call.over:
             return
         if last_ms is not None:
-            forward.counters.timed("pause", now - last_ms)
+            forward.counters.observe_ms("pause", now - last_ms)
             if groups is not None:
-                groups.saw(call.group, now - last_ms, now)
+                groups.record_gap(call.group, now - last_ms, now)
         if call.first_ms is None:
             call.first_ms = now - call.arrived_ms
-            forward.counters.timed("first_event", call.first_ms)
+            forward.counters.observe_ms("first_event", call.first_ms)
         last_ms = call.heard_ms = now
         if not call.started:
             call.started = True
--- a/dunlinpoint/forward/guard.py
+++ b/dunlinpoint/forward/guard.py
@@ -30,13 +30,15 @@
 
     def check_again(self, pause_ms):
         """Look whether the endpoint is gone after *pause_ms*."""
-        self.timer = self.forward.clock.later(pause_ms, self.check)
+        self.timer = self.forward.clock.call_later(pause_ms, self.check)
 
     def check(self):
         """Look further if only this endpoint is silent."""
         members = self.forward.members(self.call.service)
         now = self.forward.clock.now()
-        if not self.forward.picker.is_gone(pick.life(self.member), members, now):
+        if not self.forward.picker.is_unresponsive(
+            pick.incarnation_key(self.member), members, now
+        ):
             self.check_again(GUARD_MS)
         elif self.connection.used_before:
             self.give_up("silent_connection")
@@ -50,7 +52,7 @@
             return
         if answers:
             self.forward.counters.incr("endpoint.busy")
-            self.check_again(pick.SILENCE_MS)
+            self.check_again(pick.UNRESPONSIVE_MS)
         else:
             self.give_up("out_of_reach")
 
@@ -76,8 +78,8 @@
         return None
     guard = Guard(forward, call, member, connection)
     if call.streaming:
-        guard.check_again(pick.SILENCE_MS)
+        guard.check_again(pick.UNRESPONSIVE_MS)
         return guard
     left = call.deadline_ms - forward.clock.now()
-    guard.timer = forward.clock.later(left * FIRST_TRY_SHARE, connection.close)
+    guard.timer = forward.clock.call_later(left * FIRST_TRY_SHARE, connection.close)
     return guard
--- a/dunlinpoint/forward/names.py
+++ b/dunlinpoint/forward/names.py
@@ -1,14 +1,14 @@
 """Header names of a dialect of HTTP, so that forwarding knows none itself.
 
 ``DEFAULT`` is this project's own dialect; a deployment that speaks another
-brings its own :class:`Names`.
+brings its own :class:`HeaderNames`.
 """
 
 import attrs
 
 
 @attrs.frozen
-class Names:
+class HeaderNames:
     """Header names (``bytes``, as sent) by what they carry.
 
     - ``request_id``: names one try of a caller; an endpoint echoes it.
@@ -32,4 +32,4 @@
     last_event_id: bytes = b"Last-Event-Id"
 
 
-DEFAULT = Names()
+DEFAULT = HeaderNames()
--- a/dunlinpoint/forward/pool.py
+++ b/dunlinpoint/forward/pool.py
@@ -171,7 +171,7 @@
     def connect(self, member, repeatable):
         """A connection to *member*, idle or new; raises ``NotSent``."""
         limit_ms = IDLE_MS * 4 if repeatable else FRESH_MS
-        connection = self._idle(pick.life(member), limit_ms)
+        connection = self._idle(pick.incarnation_key(member), limit_ms)
         if connection is not None:
             connection.used_before = True
             return connection
@@ -184,7 +184,7 @@
             connection = yield self._open(member)
         except NotSent:
             return False
-        self._keep(pick.life(member), connection)
+        self._keep(pick.incarnation_key(member), connection)
         return True
 
     @defer.inlineCallbacks
@@ -194,7 +194,7 @@
             connection = yield self._open(member)
         except NotSent as exc:
             return isinstance(exc.__cause__, error.ConnectionRefusedError)
-        self._keep(pick.life(member), connection)
+        self._keep(pick.incarnation_key(member), connection)
         return False
 
     @defer.inlineCallbacks
@@ -208,7 +208,7 @@
         self.opened += 1
 
         def quiescent(connection):
-            self._keep(pick.life(member), connection)
+            self._keep(pick.incarnation_key(member), connection)
 
         try:
             connection = yield endpoints.connectProtocol(
--- a/dunlinpoint/forward/quarantine.py
+++ b/dunlinpoint/forward/quarantine.py
@@ -18,7 +18,7 @@
 from dunlinpoint import logs
 from dunlinpoint.forward import answers
 from dunlinpoint.routing import pick
-from dunlinpoint.suspects import digest, register, sharing
+from dunlinpoint.suspects import digest, registry, sharing
 
 log = logs.logger("entry")
 
@@ -45,7 +45,7 @@
     """What this entry knows, and what it is still looking into."""
 
     sharing: sharing.Sharing
-    known: register.Register = attrs.field(factory=register.Register)
+    known: registry.Registry = attrs.field(factory=registry.Registry)
     broken_by_life: dict = attrs.field(factory=dict)
     alone: set = attrs.field(factory=set)
 
@@ -56,10 +56,10 @@
             self._take(forward, report, now)
 
     def _take(self, forward, report, now):
-        before = self.known.standing(report.digest, now)
-        if not self.known.take(report, now):
+        before = self.known.suspect_status(report.digest, now)
+        if not self.known.apply_report(report, now):
             return False
-        after = self.known.standing(report.digest, now)
+        after = self.known.suspect_status(report.digest, now)
         if after is not before:
             forward.counters.incr(f"suspects.{after.value}")
             log.warning(
@@ -76,7 +76,7 @@
         now = forward.clock.now()
         news = [w for w in waiting if self._take(forward, w.to_message(now), now)]
         if news:
-            self.sharing.tell(news)
+            self.sharing.publish(news)
 
 
 def digest_of(call):
@@ -91,22 +91,22 @@
     return call.digest
 
 
-def standing(forward, call):
+def suspect_status(forward, call):
     """What *call* may do; digests are worked out only while there are suspects."""
     found = forward.quarantine.known
     if not len(found):
-        return register.Standing.CLEAR
-    return found.standing(digest_of(call), forward.clock.now())
+        return registry.SuspectStatus.CLEAR
+    return found.suspect_status(digest_of(call), forward.clock.now())
 
 
 def enter(forward, call):
     """Whether *call* may run; if not, it has got its final answer."""
-    found = standing(forward, call)
-    if found is register.Standing.CLEAR:
+    found = suspect_status(forward, call)
+    if found is registry.SuspectStatus.CLEAR:
         return True
     alone = forward.quarantine.alone
-    if found is register.Standing.CONVICTED:
-        refuse(forward, call, "convicted", register.EXPIRY_MS)
+    if found is registry.SuspectStatus.CONVICTED:
+        refuse(forward, call, "convicted", registry.EXPIRY_MS)
     elif call.digest in alone:
         refuse(forward, call, "suspect_at_work", ALONE_RETRY_MS)
     else:
@@ -145,14 +145,14 @@
     for broken in found.broken_by_life.values():
         broken.digests.discard(name)
     suspect = found.known.suspect_by_digest.get(name)
-    if suspect is not None and suspect.ended_ms_by_life:
-        found.note(forward, [sharing.Waiting(name, "", forward.clock.now())])
+    if suspect is not None and suspect.ended_ms_by_incarnation:
+        found.note(forward, [sharing.PendingReport(name, "", forward.clock.now())])
 
 
 def broke(forward, call, member):
     """The connection to *member* ended while *call* was at work there."""
     found = forward.quarantine
-    life = pick.life(member)
+    life = pick.incarnation_key(member)
     broken = found.broken_by_life.get(life)
     if broken is None:
         broken = found.broken_by_life[life] = Broken(member, forward.clock.now())
@@ -167,11 +167,11 @@
 @defer.inlineCallbacks
 def look(forward, life, broken):
     """Look whether the endpoint of *broken* still listens, and later forget it."""
-    yield forward.clock.pause(LOOK_MS)
+    yield forward.clock.sleep(LOOK_MS)
     if (yield forward.pool.is_closed(broken.member)):
         ended(forward, life)
         return
-    yield forward.clock.pause(PENDING_MS)
+    yield forward.clock.sleep(PENDING_MS)
     forward.quarantine.broken_by_life.pop(life, None)
 
 
@@ -203,5 +203,5 @@
     log.info("endpoint_ended", endpoint_id=life, requests=len(broken.digests))
     forward.quarantine.note(
         forward,
-        [sharing.Waiting(name, life, broken.at_ms) for name in broken.digests],
+        [sharing.PendingReport(name, life, broken.at_ms) for name in broken.digests],
     )
--- a/dunlinpoint/forward/site.py
+++ b/dunlinpoint/forward/site.py
@@ -7,7 +7,7 @@
 
 from twisted.web import resource, server
 
-from dunlinpoint import callers, clock, logs
+from dunlinpoint import clock, http_site, logs
 from dunlinpoint.forward import admission
 
 log = logs.logger("entry")
@@ -40,5 +40,5 @@
 def listen(reactor, forward, host, port):
     """Serve callers on *host*:*port*; the ``Site`` and its listening port."""
     idle_ms = forward.limits.idle_ms + IDLE_MARGIN_MS
-    site = callers.Site(Forwarded(forward), timeout=clock.seconds(idle_ms))
+    site = http_site.Site(Forwarded(forward), timeout=clock.seconds(idle_ms))
     return site, reactor.listenTCP(port, site, interface=host, backlog=512)
--- a/dunlinpoint/forward/state.py
+++ b/dunlinpoint/forward/state.py
@@ -6,14 +6,22 @@
 
 import attrs
 
-from dunlinpoint import clock, life, logs, metrics
+from dunlinpoint import clock, lifecycle, logs, metrics
 from dunlinpoint.config import document as config
 from dunlinpoint.config import packed
 from dunlinpoint.entry import limits as workspace_limits
 from dunlinpoint.experts import messages
 from dunlinpoint.follow import view
 from dunlinpoint.forward import events, names, pool, quarantine, routes, waiting
-from dunlinpoint.routing import budget, groups, late, notices, outage, pick, spread
+from dunlinpoint.routing import (
+    budget,
+    endpoint_order,
+    endpoint_signals,
+    groups,
+    latency,
+    outage,
+    pick,
+)
 from dunlinpoint.suspects import sharing
 
 log = logs.logger("entry")
@@ -24,7 +32,7 @@
 
 
 @attrs.define
-class Forward:
+class Forwarder:
     """What every request at this entry shares."""
 
     view: view.View
@@ -34,8 +42,8 @@
     picker: pick.Picker
     waiting: waiting.Waiting
     quarantine: quarantine.Quarantine
-    names: names.Names = names.DEFAULT
-    read_notice: object = notices.nothing
+    names: names.HeaderNames = names.DEFAULT
+    read_signal: object = endpoint_signals.no_signal
     budget: budget.Budget = attrs.field(factory=budget.Budget)
     table: routes.Table = attrs.field(factory=routes.Table)
     limits: config.Limits = attrs.field(factory=config.Limits)
@@ -43,7 +51,7 @@
     work: workspace_limits.Work = attrs.field(factory=workspace_limits.Work)
     key_lease_ms: int = 0
     in_flight: int = 0
-    life: life.Life = attrs.field(factory=life.begin)
+    lifecycle: lifecycle.Lifecycle = attrs.field(factory=lifecycle.begin)
     outages: outage.Outages = attrs.field(factory=outage.Outages)
     groups_by_service: dict = attrs.field(factory=dict)
     members_by_service: dict = attrs.field(factory=dict)
@@ -55,30 +63,30 @@
 
     @classmethod
     def from_config(
-        cls, reactor, entry_view, counters, dialect, read_notice, key_lease_ms=0
+        cls, reactor, entry_view, counters, dialect, read_signal, key_lease_ms=0
     ):
         """Forwarding at the entry whose view is *entry_view*.
 
-        ``read_notice(status, headers)`` gives the ``Notice`` of an endpoint's answer.
+        ``read_signal(status, headers)`` gives the ``Signal`` of an endpoint's answer.
         With *key_lease_ms* above 0, keyed requests are refused once no
         majority of controls has vouched for the document for so long.
         """
-        ticks = clock.Clock(reactor)
+        ms_clock = clock.Clock(reactor)
         forward = cls(
             view=entry_view,
-            clock=ticks,
-            waiting=waiting.Waiting(ticks),
-            started_ms=ticks.now(),
+            clock=ms_clock,
+            waiting=waiting.Waiting(ms_clock),
+            started_ms=ms_clock.now(),
             counters=counters,
             pool=pool.Pool.from_config(reactor),
             picker=pick.Picker(entry_view.zone),
-            quarantine=quarantine.Quarantine(sharing.Sharing(entry_view, ticks)),
+            quarantine=quarantine.Quarantine(sharing.Sharing(entry_view, ms_clock)),
             names=dialect,
-            read_notice=read_notice,
+            read_signal=read_signal,
             key_lease_ms=key_lease_ms,
         )
         entry_view.on_document.append(forward.take)
-        entry_view.on_news.append(forward.news)
+        entry_view.on_change.append(forward.news)
         entry_view.wants_reports = True
         entry_view.on_reports.append(forward.hear_reports)
         return forward
@@ -111,7 +119,7 @@
 
     def knows(self, service=None):
         """Whether the document, and endpoints of *service*, are known."""
-        if not self.table.version or self.view.vouched_ms is None:
+        if not self.table.version or self.view.confirmed_ms is None:
             return False
         return service is None or bool(self.members(service))
 
@@ -123,8 +131,8 @@
         """Arrange the members if they have changed."""
         live = self.view.live("service")
         view = self.view
-        self.picker.notices.learn(view.entry, view.entries, self.clock.now())
-        state = view.generation, view.place, view.places
+        self.picker.signals.update(view.entry_index, view.entry_count, self.clock.now())
+        state = view.generation, view.zone_index, view.zone_entries
         if self.arranged != state:
             self.arranged = state
             self._arrange(live)
@@ -133,25 +141,25 @@
         by_service = {}
         for member in sorted(live, key=lambda m: m.endpoint_id):
             by_service.setdefault(member.service_name, []).append(member)
-        place, places = self.view.place, self.view.places
+        place, places = self.view.zone_index, self.view.zone_entries
         self.members_by_service = {
-            name: spread.arranged(members, self.view.zone, place, places)
+            name: endpoint_order.preferred_order(members, self.view.zone, place, places)
             for name, members in by_service.items()
         }
         # Without this the records and idle connections of every endpoint
         # that there ever was stay in memory until a restart.
-        lives = {pick.life(m) for m in live}
+        lives = {pick.incarnation_key(m) for m in live}
         self.picker.forget(lives)
-        self.picker.notices.forget(lives, self.clock.now())
+        self.picker.signals.forget(lives, self.clock.now())
         self.pool.forget(lives)
         addresses = {outage.address_of(m) for m in live}
         ranks = self.view.live(messages.KIND)
-        for group in self.outages.learn(ranks, addresses, self.clock.now()):
+        for group in self.outages.update(ranks, addresses, self.clock.now()):
             log.info("group_open", group=group)
             for member in live:
                 address = outage.address_of(member)
                 if self.outages.group_by_address.get(address) == group:
-                    self.picker.succeeded(pick.life(member))
+                    self.picker.succeeded(pick.incarnation_key(member))
         self._arrange_groups()
 
     def _arrange_groups(self):
@@ -162,10 +170,16 @@
             by_group = self.group_members_by_service[service] = {}
             for member in sorted(members, key=lambda m: m.endpoint_id):
                 by_group.setdefault(self.group_of(member), []).append(member)
-            zone, place, places = self.view.zone, self.view.place, self.view.places
+            zone, place, places = (
+                self.view.zone,
+                self.view.zone_index,
+                self.view.zone_entries,
+            )
             for group, inside in by_group.items():
-                by_group[group] = spread.arranged_in_group(inside, zone, place, places)
-                if not spread.lies_evenly(inside, zone):
+                by_group[group] = endpoint_order.preferred_order_in_group(
+                    inside, zone, place, places
+                )
+                if not endpoint_order.is_evenly_distributed(inside, zone):
                     self.uneven_groups.add((service, group))
         for service, found in self.groups_by_service.items():
             self._tell_sizes(service, found)
@@ -179,8 +193,8 @@
             for group, members in by_group.items()
         }
         members = self.members_by_service.get(service, [])
-        slots = late.own_slots(members, self.view.zone, self.view.places)
-        found.learn(sizes, here, slots)
+        slots = latency.entry_slots(members, self.view.zone, self.view.zone_entries)
+        found.update(sizes, here, slots)
 
     def groups(self, call):
         """The ``Groups`` of *call*'s service, or ``None`` where no pause is set."""
@@ -204,14 +218,14 @@
         return {
             group: members
             for group, members in by_group.items()
-            if not self.outages.stands(members[0], now)
+            if not self.outages.is_stalled(members[0], now)
         }
 
     def key_lease_ended(self):
         """Whether keys may have been taken away without our hearing of it."""
         if not self.key_lease_ms:
             return False
-        vouched = self.view.vouched_ms
+        vouched = self.view.confirmed_ms
         return vouched is None or self.clock.now() - vouched > self.key_lease_ms
 
 
--- a/dunlinpoint/forward/tests/test_room.py
+++ b/dunlinpoint/forward/tests/test_capacity.py
@@ -11,9 +11,9 @@
 
 from dunlinpoint import clock, metrics
 from dunlinpoint.config import document as config
-from dunlinpoint.forward import exchange, quarantine, room, tries, waiting
+from dunlinpoint.forward import capacity, exchange, quarantine, tries, waiting
+from dunlinpoint.routing import admission_control, endpoint_signals, outage, pick
 from dunlinpoint.routing import groups as all_groups
-from dunlinpoint.routing import notices, outage, pace, pick
 from dunlinpoint.wire.gen.dunlin import ttypes
 
 MEMBER = ttypes.Member(endpoint_id="a", zone="z", slots=6)
@@ -34,7 +34,7 @@
 
 
 @attrs.define
-class Forward:
+class Forwarder:
     """What the tries of a request need of an entry."""
 
     clock: clock.Clock
@@ -86,10 +86,10 @@
     """An entry whose group makes passes of the longest allowed length, and its ends."""
     reactor = task.Clock()
     ends = []
-    forward = Forward(clock.Clock(reactor), all_groups.Groups(ALLOWED_MS))
-    forward.found.learn({"g": 16}, {"g": 16}, SLOTS)
+    forward = Forwarder(clock.Clock(reactor), all_groups.Groups(ALLOWED_MS))
+    forward.found.update({"g": 16}, {"g": 16}, SLOTS)
     for _ in range(9):
-        forward.found.pace("g").began()
+        forward.found.controller("g").began()
 
     def one_try(_forward, _call, member):
         ends.append(("sent", forward.clock.now()))
@@ -99,26 +99,26 @@
         ends.append((reason, forward.clock.now(), status, retry_ms))
 
     monkeypatch.setattr(tries.exchange, "one_try", one_try)
-    monkeypatch.setattr(room.answers, "answer", refused)
+    monkeypatch.setattr(capacity.answers, "answer", refused)
     return reactor, forward, ends
 
 
 def play(reactor, forward, call, pause_ms):
     """Have *call* tried for a second with passes of ``pause_ms(now)``."""
-    forward.found.saw("g", pause_ms(0), 0)
+    forward.found.record_gap("g", pause_ms(0), 0)
     tries.run(forward, call)
     for _ in range(100):
         reactor.advance(0.01)
         now = forward.clock.now()
         if now % 50 == 0:
-            forward.found.saw("g", pause_ms(now), now)
+            forward.found.record_gap("g", pause_ms(now), now)
 
 
 def test_a_jump_of_demand_is_bridged(entry):
     reactor, forward, ends = entry
     play(reactor, forward, Call(DEADLINE_MS), lambda now: 118 if now < 100 else 50)
     ((kind, at_ms),) = ends
-    assert kind == "sent" and 100 <= at_ms < room.WAIT_SHARE * AIM_MS + 50
+    assert kind == "sent" and 100 <= at_ms < capacity.WAIT_SHARE * AIM_MS + 50
 
 
 def test_who_could_not_be_in_time_any_more_is_sent_away(entry):
@@ -126,14 +126,14 @@
     play(reactor, forward, Call(DEADLINE_MS), lambda _now: 118)
     ((reason, at_ms, status, retry_ms),) = ends
     assert (reason, status) == ("no_room", 503)
-    assert at_ms <= room.WAIT_SHARE * AIM_MS + room.LOOK_MS
-    assert room.RETRY_MS[0] <= retry_ms <= room.RETRY_MS[1]
+    assert at_ms <= capacity.WAIT_SHARE * AIM_MS + capacity.POLL_INTERVAL_MS
+    assert capacity.RETRY_MS[0] <= retry_ms <= capacity.RETRY_MS[1]
 
 
 def overload(forward):
     """Passes of the longest allowed length for six seconds, up to now."""
     for since_ms in range(6000, -1, -50):
-        forward.found.saw("g", ALLOWED_MS + 1, forward.clock.now() - since_ms)
+        forward.found.record_gap("g", ALLOWED_MS + 1, forward.clock.now() - since_ms)
 
 
 def test_where_long_passes_last_callers_are_sent_away_at_once(entry):
@@ -146,7 +146,7 @@
     tries.run(forward, call)
     ((reason, at_ms, status, retry_ms),) = ends
     assert (reason, at_ms, status) == ("overloaded", now, 503)
-    assert room.LASTING_RETRY_MS[0] <= retry_ms <= room.LASTING_RETRY_MS[1]
+    assert capacity.OVERLOAD_RETRY_MS[0] <= retry_ms <= capacity.OVERLOAD_RETRY_MS[1]
     assert forward.overloaded == {("s", "g")}
 
 
@@ -166,7 +166,7 @@
     overload(forward)
     now = forward.clock.now()
     tries.run(forward, Call(now + DEADLINE_MS, arrived_ms=now, draw=0.5))
-    reactor.advance(pace.STALE_MS / 1000 + 0.1)
+    reactor.advance(admission_control.STALE_MS / 1000 + 0.1)
     now = forward.clock.now()
     tries.run(forward, Call(now + DEADLINE_MS, arrived_ms=now, draw=0.5))
     assert ends[-1][0] == "sent"
@@ -195,7 +195,7 @@
 def calm(forward):
     """Passes far shorter than allowed, up to now."""
     for since_ms in range(1000, -1, -50):
-        forward.found.saw("g", 50, forward.clock.now() - since_ms)
+        forward.found.record_gap("g", 50, forward.clock.now() - since_ms)
 
 
 def late_call(forward, left_ms=DEADLINE_MS - 2000):
@@ -211,8 +211,8 @@
 
 def fill(forward):
     """Have streams in flight up to what late callers may take."""
-    while forward.found.with_slots(["g"]):
-        forward.found.pace("g").began()
+    while forward.found.free_slots(["g"]):
+        forward.found.controller("g").began()
 
 
 def test_a_late_caller_waits_for_a_slot_that_those_in_time_leave(entry):
@@ -226,7 +226,7 @@
     tries.run(forward, Call(began_ms + DEADLINE_MS, began_ms, began_ms))
     assert ends == [("sent", began_ms)]
     reactor.advance(0.5)
-    forward.found.pace("g").ended()
+    forward.found.controller("g").ended()
     reactor.advance(0.1)
     assert [kind for kind, _ in ends] == ["sent", "sent"]
     assert forward.found.queue.turns == []
@@ -244,8 +244,8 @@
         calm(forward)
     ((reason, at_ms, status, _retry_ms),) = ends
     assert (reason, status) == ("no_room", 503)
-    patience_ms = outage.patience_ms(AIM_MS, ALLOWED_MS)
-    assert patience_ms / 2 < at_ms - began_ms < patience_ms
+    event_timeout_ms = outage.event_timeout_ms(AIM_MS, ALLOWED_MS)
+    assert event_timeout_ms / 2 < at_ms - began_ms < event_timeout_ms
     assert forward.found.queue.turns == []
 
 
@@ -262,7 +262,7 @@
     tries.run(forward, stays)
     gone.left = True
     reactor.advance(0.1)
-    forward.found.pace("g").ended()
+    forward.found.controller("g").ended()
     reactor.advance(0.1)
     assert [kind for kind, _ in ends] == ["sent"]
 
@@ -272,7 +272,7 @@
     reactor, forward, ends = entry
     reactor.advance(10)
     opened(forward)
-    reactor.advance(outage.WORKED_OFF_MS / 1000)
+    reactor.advance(outage.BACKLOG_DRAIN_MS / 1000)
     calm(forward)
     fill(forward)
     tries.run(forward, late_call(forward))
@@ -285,7 +285,7 @@
     reactor.advance(10)
     opened(forward)
     began_ms = forward.clock.now()
-    tries.run(forward, late_call(forward, outage.ANSWER_MS - 1))
+    tries.run(forward, late_call(forward, outage.TYPICAL_ANSWER_MS - 1))
     ((reason, at_ms, status, _retry_ms),) = ends
     assert (reason, at_ms, status) == ("no_room", began_ms, 503)
 
@@ -322,8 +322,8 @@
         reactor.advance(0.05)
     ((reason, at_ms, status, retry_ms),) = ends
     assert (reason, status) == ("group_stands", 503)
-    patience_ms = outage.patience_ms(AIM_MS, ALLOWED_MS)
-    assert patience_ms / 2 < at_ms < patience_ms
+    event_timeout_ms = outage.event_timeout_ms(AIM_MS, ALLOWED_MS)
+    assert event_timeout_ms / 2 < at_ms < event_timeout_ms
     assert 0 < retry_ms <= (DEADLINE_MS - at_ms) / 3
 
 
@@ -346,7 +346,7 @@
         reactor.advance(0.05)
     ((reason, at_ms, status, retry_ms),) = ends
     assert (reason, status) == ("group_stands", 503)
-    assert at_ms > outage.patience_ms(AIM_MS, ALLOWED_MS) / 2
+    assert at_ms > outage.event_timeout_ms(AIM_MS, ALLOWED_MS) / 2
     assert retry_ms > (DEADLINE_MS - at_ms) / 4
 
 
@@ -354,16 +354,16 @@
     # Guards against callers held to the end who could not have been served.
     reactor, forward, ends = entry
     Standing(forward, opens_ms=60_000)
-    tries.run(forward, Call(outage.ANSWER_MS - 1))
+    tries.run(forward, Call(outage.TYPICAL_ANSWER_MS - 1))
     ((reason, at_ms, status, _retry_ms),) = ends
     assert (reason, at_ms, status) == ("group_stands", 0, 503)
 
 
 def limit(forward, per_s):
     """The only endpoint names a limit, and has just been sent a request."""
-    life, now = pick.life(MEMBER), forward.clock.now()
-    forward.picker.notices.take(life, notices.Notice(per_s), now, now)
-    forward.picker.notices.sent(life, now)
+    life, now = pick.incarnation_key(MEMBER), forward.clock.now()
+    forward.picker.signals.apply(life, endpoint_signals.Signal(per_s), now, now)
+    forward.picker.signals.sent(life, now)
 
 
 def test_a_turn_at_a_limited_endpoint_is_waited_for_if_it_is_near(entry):
@@ -375,10 +375,10 @@
     assert kind == "sent" and 100 <= at_ms < 120
 
 
-def rest(forward, rest_ms):
+def rest(forward, backoff_ms):
     """The only endpoint asks for rest."""
-    notice = notices.Notice(rest_ms=rest_ms)
-    forward.picker.notices.take(pick.life(MEMBER), notice, 0, 0)
+    notice = endpoint_signals.Signal(backoff_ms=backoff_ms)
+    forward.picker.signals.apply(pick.incarnation_key(MEMBER), notice, 0, 0)
 
 
 @pytest.mark.parametrize("tell, value, free_ms", [(limit, 1, 1000), (rest, 1200, 1200)])
@@ -397,7 +397,7 @@
 def test_where_all_leave_callers_come_back_soon(entry):
     # Guards against callers told to wait for endpoints that do not come back.
     reactor, forward, ends = entry
-    leaves = notices.Notice(is_leaving=True)
-    forward.picker.notices.take(pick.life(MEMBER), leaves, 0, 0)
+    leaves = endpoint_signals.Signal(is_draining=True)
+    forward.picker.signals.apply(pick.incarnation_key(MEMBER), leaves, 0, 0)
     play(reactor, forward, Call(DEADLINE_MS), lambda _now: 50)
-    assert ends == [("no_endpoint", 0, 503, room.answers.RETRY_AFTER_MS)]
+    assert ends == [("no_endpoint", 0, 503, capacity.answers.RETRY_AFTER_MS)]
--- a/dunlinpoint/forward/tests/test_guard.py
+++ b/dunlinpoint/forward/tests/test_guard.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class Forward:
+class Forwarder:
     clock: clock.Clock
     picker: pick.Picker
     pool: Pool
@@ -48,17 +48,17 @@
     """The connection to a silent endpoint after *ms*."""
     reactor = task.Clock()
     reactor.advance(100)
-    forward = Forward(
+    forward = Forwarder(
         clock.Clock(reactor), pick.Picker("z"), Pool(answers), metrics.Counters(None)
     )
     connection = Connection(used_before)
-    forward.picker.heard("a", forward.clock.now())
+    forward.picker.data_received("a", forward.clock.now())
     watching = guard.Guard(forward, Call(), MEMBERS[0], connection)
-    watching.check_again(pick.SILENCE_MS)
+    watching.check_again(pick.UNRESPONSIVE_MS)
     for _ in range(ms // 50):
         reactor.advance(0.05)
         if other_heard:
-            forward.picker.heard("b", forward.clock.now())
+            forward.picker.data_received("b", forward.clock.now())
     return connection
 
 
--- a/dunlinpoint/forward/tests/test_quarantine.py
+++ b/dunlinpoint/forward/tests/test_quarantine.py
@@ -9,7 +9,7 @@
 
 from dunlinpoint import clock, metrics
 from dunlinpoint.forward import quarantine
-from dunlinpoint.suspects import register
+from dunlinpoint.suspects import registry
 from dunlinpoint.wire.gen.dunlin import ttypes
 
 
@@ -56,12 +56,12 @@
 class Sharing:
     told: list = attrs.field(factory=list)
 
-    def tell(self, waiting):
+    def publish(self, waiting):
         self.told += waiting
 
 
 @attrs.define
-class Forward:
+class Forwarder:
     clock: clock.Clock
     quarantine: quarantine.Quarantine
     pool: Pool = attrs.field(factory=Pool)
@@ -74,7 +74,7 @@
 def entry(monkeypatch):
     """A clock, an entry, and the reasons of its refusals."""
     reactor = task.Clock()
-    forward = Forward(clock.Clock(reactor), quarantine.Quarantine(Sharing()))
+    forward = Forwarder(clock.Clock(reactor), quarantine.Quarantine(Sharing()))
     refused = []
     monkeypatch.setattr(
         quarantine.answers,
@@ -102,8 +102,8 @@
     assert quarantine.enter(forward, Call())
     end_endpoints(reactor, forward, "c")
     assert not quarantine.enter(forward, Call())
-    assert refused == [(503, "convicted", register.EXPIRY_MS)]
-    assert [w.life for w in forward.quarantine.sharing.told] == ["a", "b", "c"]
+    assert refused == [(503, "convicted", registry.EXPIRY_MS)]
+    assert [w.incarnation for w in forward.quarantine.sharing.told] == ["a", "b", "c"]
 
 
 def test_an_endpoint_that_listens_has_not_ended(entry):
@@ -128,7 +128,7 @@
     reactor.advance(0.5)
     forward.view.members = [now_there]
     quarantine.look_for_new_starts(forward)
-    assert [w.life for w in forward.quarantine.sharing.told] == ["a"]
+    assert [w.incarnation for w in forward.quarantine.sharing.told] == ["a"]
 
 
 @pytest.mark.parametrize(
@@ -164,8 +164,8 @@
     reactor, forward, _ = entry
     end_endpoints(reactor, forward, "ab")
     quarantine.served(forward, Call())
-    assert forward.quarantine.sharing.told[-1].life == ""
-    assert quarantine.standing(forward, Call()) is register.Standing.CLEAR
+    assert forward.quarantine.sharing.told[-1].incarnation == ""
+    assert quarantine.suspect_status(forward, Call()) is registry.SuspectStatus.CLEAR
 
 
 def test_what_is_served_while_an_endpoint_is_looked_for_did_not_end_it(entry):
--- a/dunlinpoint/forward/tries.py
+++ b/dunlinpoint/forward/tries.py
@@ -3,9 +3,9 @@
 from twisted.internet import defer
 
 from dunlinpoint import logs
-from dunlinpoint.forward import answers, exchange, quarantine, room, routes
+from dunlinpoint.forward import answers, capacity, exchange, quarantine, routes
 from dunlinpoint.routing import outage, pick
-from dunlinpoint.suspects import register
+from dunlinpoint.suspects import registry
 
 log = logs.logger("entry")
 
@@ -21,7 +21,7 @@
     try:
         yield run_tries(forward, call)
     finally:
-        room.leave(forward, call)
+        capacity.leave(forward, call)
         quarantine.leave(forward, call)
 
 
@@ -33,28 +33,28 @@
             return
         now = forward.clock.now()
         by_group = forward.open_groups(call.service, now)
-        found = room.find(forward, call, by_group, now)
-        if found is room.Room.FULL and now < room.wait_until(call):
-            yield forward.clock.pause(room.look_ms(call))
+        found = capacity.find(forward, call, by_group, now)
+        if found is capacity.Room.FULL and now < capacity.wait_until(call):
+            yield forward.clock.sleep(capacity.look_ms(call))
             continue
-        if found is not room.Room.JOINED:
-            room.refuse(forward, call, found)
+        if found is not capacity.Room.JOINED:
+            capacity.refuse(forward, call, found)
             return
         member = next_member(forward, call, by_group, now)
         if member is None:
             members = [m for inside in by_group.values() for m in inside]
-            free_ms = forward.picker.free_ms(members, now, call.tried)
-            if free_ms is not None and free_ms <= room.wait_until(call):
-                yield forward.clock.pause(free_ms - now)
+            available_ms = forward.picker.available_ms(members, now, call.tried)
+            if available_ms is not None and available_ms <= capacity.wait_until(call):
+                yield forward.clock.sleep(available_ms - now)
                 continue
-            reason = "no_endpoint" if free_ms is None else "limited"
+            reason = "no_endpoint" if available_ms is None else "limited"
             give_up(forward, call, reason, free_again_ms(forward, call))
             return
         if call.deadline_ms - now < LEAST_LEFT_MS:
             give_up(forward, call, "too_late")
             return
         forward.outages.probe(member, now)
-        call.tried.add(pick.life(member))
+        call.tried.add(pick.incarnation_key(member))
         state = yield exchange.one_try(forward, call, member)
         if state == exchange.DONE or call.left:
             return
@@ -73,7 +73,7 @@
         near = (call.service, group) not in forward.uneven_groups
         member = forward.picker.pick(by_group[group], now, call.tried, near)
         if member is not None:
-            room.join(forward, call, group)
+            capacity.join(forward, call, group)
             return member
     return None
 
@@ -85,11 +85,13 @@
     it, or they would meet in the same moment.
     """
     now = forward.clock.now()
-    free_ms = forward.picker.free_ms(forward.members(call.service), now)
-    if free_ms is None or free_ms <= now:
+    available_ms = forward.picker.available_ms(forward.members(call.service), now)
+    if available_ms is None or available_ms <= now:
         return answers.RETRY_AFTER_MS
-    wanted_ms = max(answers.RETRY_AFTER_MS, free_ms - now) * forward.rng.uniform(1, 2)
-    return min(wanted_ms, outage.heeded_ms(call.deadline_ms - now))
+    wanted_ms = max(answers.RETRY_AFTER_MS, available_ms - now) * forward.rng.uniform(
+        1, 2
+    )
+    return min(wanted_ms, outage.max_retry_after_ms(call.deadline_ms - now))
 
 
 @defer.inlineCallbacks
@@ -102,13 +104,13 @@
         return True
     if call.streaming and not call.waited:
         call.waited = True
-        limit_ms = room.leaves_ms(call) - forward.clock.now()
+        limit_ms = capacity.leaves_ms(call) - forward.clock.now()
         yield forward.waiting.until(
             lambda: call.over or not is_standing(forward, call), limit_ms
         )
         if not call.over and not is_standing(forward, call):
             return True
-    give_up(forward, call, "group_stands", come_back_ms(forward, call))
+    give_up(forward, call, "group_stands", outage_retry_after_ms(forward, call))
     return False
 
 
@@ -120,7 +122,7 @@
         return False
     if call.tries >= call.route.max_attempts:
         return False
-    if quarantine.standing(forward, call) is not register.Standing.CLEAR:
+    if quarantine.suspect_status(forward, call) is not registry.SuspectStatus.CLEAR:
         # It would end one endpoint more, within one attempt of its caller.
         return False
     return call.tries == 0 or forward.budget.spend(call.service)
@@ -134,11 +136,11 @@
     )
 
 
-def come_back_ms(forward, call):
+def outage_retry_after_ms(forward, call):
     """When the caller of *call* should come back, whose groups all stand."""
     now = forward.clock.now()
-    since = forward.outages.since_ms(forward.members(call.service), now)
-    return outage.come_back_ms(since, now, call.deadline_ms - now, forward.rng)
+    since = forward.outages.outage_start_ms(forward.members(call.service), now)
+    return outage.outage_retry_after_ms(since, now, call.deadline_ms - now, forward.rng)
 
 
 def give_up(forward, call, reason, retry_ms=answers.RETRY_AFTER_MS):
--- a/dunlinpoint/forward/waiting.py
+++ b/dunlinpoint/forward/waiting.py
@@ -40,7 +40,7 @@
                 return False
             waiter = defer.Deferred()
             self.waiters.append(waiter)
-            timer = self.clock.later(min(left_ms, LOOK_MS), self._wake, waiter)
+            timer = self.clock.call_later(min(left_ms, LOOK_MS), self._wake, waiter)
             yield waiter
             if timer.active():
                 timer.cancel()
--- a/dunlinpoint/callers.py
+++ b/dunlinpoint/http_site.py
@@ -40,9 +40,9 @@
         self.channels.add(channel)
 
     @defer.inlineCallbacks
-    def close_all(self, ticks, ends_ms):
+    def close_all(self, ms_clock, ends_ms):
         """Close every connection once its answers have left, or at *ends_ms*."""
         for channel in list(self.channels):
             channel.loseConnection()
-        while self.channels and ticks.now() < ends_ms:
-            yield ticks.pause(STEP_MS)
+        while self.channels and ms_clock.now() < ends_ms:
+            yield ms_clock.sleep(STEP_MS)
--- a/dunlinpoint/life.py
+++ b/dunlinpoint/lifecycle.py
@@ -15,7 +15,7 @@
 from automat import TypeMachineBuilder
 
 
-class Life(Protocol):
+class Lifecycle(Protocol):
     """Inputs of the machine."""
 
     def drain(self) -> None:
@@ -36,27 +36,27 @@
     """The machine keeps no data beside its state."""
 
 
-builder = TypeMachineBuilder(Life, Nothing)
+builder = TypeMachineBuilder(Lifecycle, Nothing)
 serving = builder.state("serving")
 draining = builder.state("draining")
 stopping = builder.state("stopping")
 
-serving.upon(Life.drain).to(draining).returns(None)
-serving.upon(Life.close).to(stopping).returns(None)
-draining.upon(Life.drain).loop().returns(None)
-draining.upon(Life.close).to(stopping).returns(None)
-stopping.upon(Life.drain).loop().returns(None)
-stopping.upon(Life.close).loop().returns(None)
-serving.upon(Life.is_draining).loop().returns(False)
-serving.upon(Life.is_stopping).loop().returns(False)
-draining.upon(Life.is_draining).loop().returns(True)
-draining.upon(Life.is_stopping).loop().returns(False)
-stopping.upon(Life.is_draining).loop().returns(True)
-stopping.upon(Life.is_stopping).loop().returns(True)
+serving.upon(Lifecycle.drain).to(draining).returns(None)
+serving.upon(Lifecycle.close).to(stopping).returns(None)
+draining.upon(Lifecycle.drain).loop().returns(None)
+draining.upon(Lifecycle.close).to(stopping).returns(None)
+stopping.upon(Lifecycle.drain).loop().returns(None)
+stopping.upon(Lifecycle.close).loop().returns(None)
+serving.upon(Lifecycle.is_draining).loop().returns(False)
+serving.upon(Lifecycle.is_stopping).loop().returns(False)
+draining.upon(Lifecycle.is_draining).loop().returns(True)
+draining.upon(Lifecycle.is_stopping).loop().returns(False)
+stopping.upon(Lifecycle.is_draining).loop().returns(True)
+stopping.upon(Lifecycle.is_stopping).loop().returns(True)
 
 machine = builder.build()
 
 
 def begin():
-    """A ``Life`` that serves."""
+    """A ``Lifecycle`` that serves."""
     return machine(Nothing())
--- a/dunlinpoint/metrics.py
+++ b/dunlinpoint/metrics.py
@@ -68,7 +68,7 @@
         """Count one retry for *reason*."""
         self.incr(f"retried.{reason}")
 
-    def timed(self, name, ms):
+    def observe_ms(self, name, ms):
         """Note that what ``TIMED`` calls *name* took *ms* milliseconds."""
         histogram = self.histogram_by_name.get(name)
         if histogram is None:
--- a/dunlinpoint/platform/__main__.py
+++ b/dunlinpoint/platform/__main__.py
@@ -1,8 +1,8 @@
 """``python -m dunlinpoint.platform``: where every process on the platform begins."""
 
-from dunlinpoint import early
+from dunlinpoint import startup
 
-early.prepare()
+startup.prepare()
 
 from twisted.internet import reactor  # noqa: E402
 
--- a/dunlinpoint/platform/admin.py
+++ b/dunlinpoint/platform/admin.py
@@ -25,7 +25,7 @@
 def make_app(reactor, state):
     """The Klein app over a control instance's *state*."""
     web = Klein()
-    numbers = operators.Numbers()
+    numbers = operators.NumberCache()
 
     def refuse(request, endpoint_id, error):
         """Answer a call of an endpoint that no sound writer sends."""
@@ -66,7 +66,7 @@
         arrived_ms = state.clock.now()
         outcome = yield operators.replace(reactor, state.peers, numbers, doc)
         took_ms = state.clock.now() - arrived_ms
-        state.counters.timed("agreement", took_ms)
+        state.counters.observe_ms("agreement", took_ms)
         log.info(
             "document_proposed",
             version=outcome.version,
--- a/dunlinpoint/platform/agent.py
+++ b/dunlinpoint/platform/agent.py
@@ -6,7 +6,7 @@
 from dunlinpoint.agent import announce
 from dunlinpoint.cli import checks, flags
 from dunlinpoint.experts import engine as engines
-from dunlinpoint.experts import lead, rank
+from dunlinpoint.experts import leader, rank
 from dunlinpoint.follow import view
 from dunlinpoint.platform import addresses, commands, documents, settings
 
@@ -20,10 +20,10 @@
     logs.setup()
     counters = flags.counters(reactor, command.metrics)
     engine = engines.Engine.from_config(
-        reactor, f"{host}:{app_port}", engines.Calls(), documents.to_rank_state
+        reactor, f"{host}:{app_port}", engines.EnginePaths(), documents.to_rank_state
     )
     address = rank.Address(zone, command.ip, port)
-    leading = lead.Lead.from_config(
+    leading = leader.Leader.from_config(
         reactor,
         rank.serve(reactor, engine, address),
         view.View.from_config(reactor, zone, controls),
@@ -34,14 +34,14 @@
     rank.announce(
         reactor, engine, announcer, address, addresses.whole(command.beat_ms, "beat")
     )
-    leading.on_standing.append(
+    leading.on_group_state.append(
         lambda found: rank.announce_state(engine, announcer, address, found)
     )
-    lead.run(reactor, leading)
+    leader.run(reactor, leading)
 
-    def reseed(seeds):
-        leading.view.reseed(addresses.inner(seeds, port))
+    def set_seeds(seeds):
+        leading.view.set_seeds(addresses.inner(seeds, port))
         announcer.seeds = addresses.inner(seeds, port)
 
-    settings.watch(reactor, reseed)
+    settings.watch(reactor, set_seeds)
     reactor.run()
--- a/dunlinpoint/platform/control.py
+++ b/dunlinpoint/platform/control.py
@@ -31,7 +31,8 @@
         reactor, control, flags.counters(reactor, command.metrics)
     )
     settings.watch(
-        reactor, lambda seeds: running.controls.reseed(addresses.inner(seeds, own_port))
+        reactor,
+        lambda seeds: running.controls.set_seeds(addresses.inner(seeds, own_port)),
     )
     web = server.Site(admin.make_app(reactor, running).resource())
     reactor.listenTCP(port, web, interface=host)
--- a/dunlinpoint/platform/dialect.py
+++ b/dunlinpoint/platform/dialect.py
@@ -2,7 +2,7 @@
 
 from dunlinpoint.forward import names
 
-HEADERS = names.Names(
+HEADERS = names.HeaderNames(
     request_id=b"X-Dunlinpoint-Attempt-Id",
     deadline_ms=b"X-Dunlinpoint-Deadline-Ms",
     signature=b"X-Dunlinpoint-Server-Signature",
--- a/dunlinpoint/platform/notices.py
+++ b/dunlinpoint/platform/endpoint_signals.py
@@ -3,7 +3,7 @@
 import math
 
 from dunlinpoint import clock, logs
-from dunlinpoint.routing import notices
+from dunlinpoint.routing import endpoint_signals
 
 log = logs.logger("entry")
 
@@ -36,13 +36,13 @@
 
 
 def from_answer(status, headers):
-    """The ``Notice`` of an answer with *status* and *headers*."""
+    """The ``Signal`` of an answer with *status* and *headers*."""
     if status == OTHER_SERVER:
-        return notices.NOTHING
-    limit_per_s, is_whole = _read(headers, LIMIT)
-    rest_ms = None
+        return endpoint_signals.NO_SIGNAL
+    limit_per_s, is_complete = _read(headers, LIMIT)
+    backoff_ms = None
     if status == REFUSED:
         rest_s, _ = _read(headers, REST)
-        rest_ms = None if rest_s is None else math.ceil(rest_s * clock.MS_PER_SECOND)
-    is_leaving = headers.getRawHeaders(LEAVING, [b""])[-1].strip() == b"1"
-    return notices.Notice(limit_per_s, rest_ms, is_leaving, is_whole)
+        backoff_ms = None if rest_s is None else math.ceil(rest_s * clock.MS_PER_SECOND)
+    is_draining = headers.getRawHeaders(LEAVING, [b""])[-1].strip() == b"1"
+    return endpoint_signals.Signal(limit_per_s, backoff_ms, is_draining, is_complete)
--- a/dunlinpoint/platform/entry.py
+++ b/dunlinpoint/platform/entry.py
@@ -11,7 +11,7 @@
     addresses,
     commands,
     dialect,
-    notices,
+    endpoint_signals,
     ready,
     settings,
 )
@@ -45,24 +45,24 @@
     logs.setup()
     entry_view = view.View.from_config(reactor, zone, controls)
     entry_view.follower = command.listen
-    forward = state.Forward.from_config(
+    forward = state.Forwarder.from_config(
         reactor,
         entry_view,
         flags.counters(reactor, command.metrics),
         dialect.HEADERS,
-        notices.from_answer,
+        endpoint_signals.from_answer,
         lease_ms,
     )
     entry_view.follow(reactor)
     settings.watch(
-        reactor, lambda seeds: entry_view.reseed(addresses.inner(seeds, inner_port))
+        reactor, lambda seeds: entry_view.set_seeds(addresses.inner(seeds, inner_port))
     )
     callers, listening = site.listen(reactor, forward, host, port)
 
     def is_ready():
         return (
             forward.table.version > 0
-            and not forward.life.is_draining()
+            and not forward.lifecycle.is_draining()
             and not forward.key_lease_ended()
         )
 
@@ -70,14 +70,14 @@
     reactor.listenTCP(ready_port, web, interface=ready_host)
 
     async def stop():
-        forward.life.drain()
+        forward.lifecycle.drain()
         ends = forward.clock.now() + grace_ms - STOP_MARGIN_MS
         log.info("draining", in_flight=forward.in_flight)
-        await forward.clock.pause(min(ACCEPT_AFTER_STOP_MS, grace_ms // 3))
-        forward.life.close()
+        await forward.clock.sleep(min(ACCEPT_AFTER_STOP_MS, grace_ms // 3))
+        forward.lifecycle.close()
         await listening.stopListening()
         while forward.in_flight and forward.clock.now() < ends:
-            await forward.clock.pause(STEP_MS)
+            await forward.clock.sleep(STEP_MS)
         await callers.close_all(forward.clock, ends)
         log.info("stopped", counters=forward.counters.snapshot())
 
--- a/dunlinpoint/platform/tests/test_notices.py
+++ b/dunlinpoint/platform/tests/test_endpoint_signals.py
@@ -3,8 +3,8 @@
 import pytest
 from twisted.web import http_headers
 
-from dunlinpoint.platform import notices as decoder
-from dunlinpoint.routing import notices
+from dunlinpoint.platform import endpoint_signals as decoder
+from dunlinpoint.routing import endpoint_signals
 
 
 def read(status=200, **named):
@@ -15,44 +15,46 @@
 
 
 def test_an_answer_that_says_nothing():
-    assert read() == notices.NOTHING
+    assert read() == endpoint_signals.NO_SIGNAL
 
 
 @pytest.mark.parametrize("value, per_s", [("1", 1.0), ("0.25", 0.25), (" 12.5 ", 12.5)])
 def test_a_limit_is_a_decimal_number_a_second(value, per_s):
-    assert read(server_limit=value) == notices.Notice(limit_per_s=per_s)
+    assert read(server_limit=value) == endpoint_signals.Signal(limit_per_s=per_s)
 
 
 @pytest.mark.parametrize("value", ["", "many", "-1", "nan", "inf", "1,5", "0x10"])
 def test_what_cannot_be_read_is_told_as_such(value):
     # Guards against a limit that counts as lifted because it was garbled.
-    assert read(server_limit=value) == notices.Notice(is_whole=False)
+    assert read(server_limit=value) == endpoint_signals.Signal(is_complete=False)
 
 
 def test_another_server_at_the_address_says_nothing_of_this_one():
-    assert read(421, server_limit="1") == notices.NOTHING
+    assert read(421, server_limit="1") == endpoint_signals.NO_SIGNAL
 
 
-@pytest.mark.parametrize("value, rest_ms", [("3", 3000), ("0.25", 250), ("0", 0)])
-def test_a_refusal_may_ask_for_rest(value, rest_ms):
-    assert read(503, retry_after=value) == notices.Notice(rest_ms=rest_ms)
+@pytest.mark.parametrize("value, backoff_ms", [("3", 3000), ("0.25", 250), ("0", 0)])
+def test_a_refusal_may_ask_for_rest(value, backoff_ms):
+    assert read(503, retry_after=value) == endpoint_signals.Signal(
+        backoff_ms=backoff_ms
+    )
 
 
 @pytest.mark.parametrize("value", ["", "-1", "Thu, 03 Dec 2026 10:00:00 GMT"])
 def test_a_time_of_rest_that_cannot_be_read_is_none(value):
-    assert read(503, retry_after=value) == notices.NOTHING
+    assert read(503, retry_after=value) == endpoint_signals.NO_SIGNAL
 
 
 @pytest.mark.parametrize("status", [200, 429, 500])
 def test_only_a_server_that_is_unavailable_asks_for_rest(status):
-    assert read(status, retry_after="3") == notices.NOTHING
+    assert read(status, retry_after="3") == endpoint_signals.NO_SIGNAL
 
 
 @pytest.mark.parametrize("status", [200, 503, 500])
 def test_a_server_says_in_any_answer_that_it_leaves(status):
-    assert read(status, server_leaving="1") == notices.Notice(is_leaving=True)
+    assert read(status, server_leaving="1") == endpoint_signals.Signal(is_draining=True)
 
 
 @pytest.mark.parametrize("value", ["", "0", "no"])
 def test_another_word_does_not_make_it_leave(value):
-    assert read(server_leaving=value) == notices.NOTHING
+    assert read(server_leaving=value) == endpoint_signals.NO_SIGNAL
--- a/dunlinpoint/routing/__init__.py
+++ b/dunlinpoint/routing/__init__.py
@@ -11,7 +11,7 @@
 ``owners``      which agents keep an idempotency key, and prefix affinity
 ``outage``      groups of ranks that stand, and when to come back
 ``groups``      how a service's streams are divided over its groups of ranks
-``pace``        how many streams are let in, from the pauses that are seen
+``controller``        how many streams are let in, from the pauses that are seen
 ``budget``      how many tries beyond the first a service may get
 ==============  ==========================================================
 """
--- a/dunlinpoint/routing/pace.py
+++ b/dunlinpoint/routing/admission_control.py
@@ -9,14 +9,14 @@
 Passes get long in two ways, which are told apart by how long it lasts:
 
 - Demand for experts jumps every few seconds, and a map answers it within half a
-  second. Requests wait that long (:meth:`Pace.has_room`).
+  second. Requests wait that long (:meth:`AdmissionController.has_room`).
 - Longer passes make streams last longer, so there are more of them, so passes are
   longer still, until all slots are taken and streams queue at engines. What began it,
   a lost lead or a slow rank, may be gone for ten seconds; the same load that fitted
   before no longer does, and nearly every stream is late. Waiting for a few passes
   changes nothing then. Only fewer streams lead out of it, so a part of the requests is
   refused at once while passes are long as a mean over more than a second
-  (:meth:`Pace.share_let_in_lasting`).
+  (:meth:`AdmissionController.long_window_admitted_share`).
 """
 
 import collections
@@ -59,7 +59,7 @@
 STOOD = 4
 
 
-def has_returned(left_ms, timeout_ms):
+def is_caller_retry(left_ms, timeout_ms):
     """Whether a caller with *left_ms* of a route's *timeout_ms* came back."""
     return left_ms < FRESH_SHARE * timeout_ms
 
@@ -83,22 +83,22 @@
 
 
 @attrs.define
-class Pace:
+class AdmissionController:
     """Streams of one service and group at this entry, and the passes they see.
 
-    ``lasting`` and ``short`` are means of pauses (ms), and ``late_ms`` is when the last
-    pause over the allowed one was seen.
+    ``long_window`` and ``short`` are means of pauses (ms), and ``late_ms`` is when the
+    last pause over the allowed one was seen.
     """
 
     allowed_ms: int
     in_flight: int = 0
     recent: collections.deque = attrs.field(factory=collections.deque)
-    lasting: Mean = attrs.field(factory=lambda: Mean(LASTING_MS))
+    long_window: Mean = attrs.field(factory=lambda: Mean(LASTING_MS))
     short: Mean = attrs.field(factory=lambda: Mean(SHORT_MS))
     seen_ms: int | None = None
     late_ms: int | None = None
 
-    def saw(self, pause_ms, now):
+    def record_gap(self, pause_ms, now):
         """A stream's next event came *pause_ms* after the one before it."""
         if pause_ms > STOOD * self.allowed_ms:
             return
@@ -110,9 +110,9 @@
         if not self._is_known(now):
             # A group that opens has its longest passes before its first map. Taken for
             # the mean, they would refuse everyone who comes back to it.
-            self.lasting.value = self.short.value = LASTING_ALL_IN * self.allowed_ms
+            self.long_window.value = self.short.value = LASTING_ALL_IN * self.allowed_ms
         else:
-            self.lasting.add(pause_ms, now - self.seen_ms)
+            self.long_window.add(pause_ms, now - self.seen_ms)
             self.short.add(pause_ms, now - self.seen_ms)
         self.seen_ms = now
 
@@ -120,34 +120,34 @@
         return self.seen_ms is not None and now - self.seen_ms <= STALE_MS
 
     @property
-    def pause_ms(self):
+    def median_gap_ms(self):
         """The median of the last pauses, ``None`` before there is any."""
         if not self.recent:
             return None
         return statistics.median(pause for _, pause in self.recent)
 
-    def share_let_in(self, now, returned=False):
+    def admitted_share(self, now, returned=False):
         """The part (0 to 1) of requests, or of *returned* callers', to be let in."""
         if self.in_flight < LEAST_STREAMS or not self._is_known(now):
             return 1.0
-        part = self.pause_ms / self.allowed_ms
+        part = self.median_gap_ms / self.allowed_ms
         if returned:
             part *= RETURNED_SHARE
         return share_between(part, ALL_IN, NONE_IN)
 
-    def share_let_in_lasting(self, now, returned=False):
+    def long_window_admitted_share(self, now, returned=False):
         """The part of requests not to be refused at once: 1 unless long passes last."""
         if self.in_flight < LEAST_STREAMS or not self._is_known(now):
             return 1.0
         if self.late_ms is None or now - self.late_ms > LATE_MS:
             return 1.0
-        part = min(self.lasting.value, self.short.value) / self.allowed_ms
+        part = min(self.long_window.value, self.short.value) / self.allowed_ms
         share = share_between(part, LASTING_ALL_IN, LASTING_NONE_IN)
         return share * LASTING_RETURNED if returned and share < 1 else share
 
     def has_room(self, now, rng, returned=False):
         """Whether one more stream may begin, of a caller that has *returned*."""
-        return rng.random() < self.share_let_in(now, returned)
+        return rng.random() < self.admitted_share(now, returned)
 
     def began(self):
         """One more stream is in flight."""
--- a/dunlinpoint/routing/spread.py
+++ b/dunlinpoint/routing/endpoint_order.py
@@ -24,7 +24,7 @@
     return members[start:] + members[:start]
 
 
-def arranged(members, zone, place, places):
+def preferred_order(members, zone, place, places):
     """*members* (in the same order everywhere) as one entry prefers them.
 
     The entry is number *place* of the *places* entries in *zone*. Each zone's
@@ -38,22 +38,22 @@
     return [m for name in zones for m in rotated(by_zone[name], place, places)]
 
 
-def lies_evenly(members, zone):
+def is_evenly_distributed(members, zone):
     """Whether *members* lie evenly over some zones, *zone* among them."""
     sizes = collections.Counter(member.zone for member in members)
     return zone in sizes and len(set(sizes.values())) == 1
 
 
-def arranged_in_group(members, zone, place, places):
+def preferred_order_in_group(members, zone, place, places):
     """*members* of one group of ranks as an entry prefers them.
 
-    Where the group lies evenly over its zones, as :func:`arranged`. Where it does
-    not, each zone's entries begin all round it: the six ranks that a zone had of a
+    Where the group lies evenly over its zones, as :func:`preferred_order`. Where it
+    does not, each zone's entries begin all round it: the six ranks that a zone had of a
     group of 24 got all that its entries sent to the group and rejected a part of
     it, and the most loaded of them sets the pace of all.
     """
-    if lies_evenly(members, zone):
-        return arranged(members, zone, place, places)
+    if is_evenly_distributed(members, zone):
+        return preferred_order(members, zone, place, places)
     zones = sorted({member.zone for member in members} | {zone})
     place = place * len(zones) + zones.index(zone)
     return rotated(members, place, len(zones) * places)
--- a/dunlinpoint/routing/notices.py
+++ b/dunlinpoint/routing/endpoint_signals.py
@@ -24,29 +24,29 @@
 
 
 @attrs.frozen
-class Notice:
+class Signal:
     """What one answer of an endpoint says of it.
 
     - ``limit_per_s``: requests a second that it takes from all entries together, as
       long as it says so; ``None`` without a limit.
-    - ``rest_ms``: for how long it wants nothing from this entry; ``None`` if it does
+    - ``backoff_ms``: for how long it wants nothing from this entry; ``None`` if it does
       not say so.
-    - ``is_leaving``: whether it takes nothing new any more.
-    - ``is_whole``: whether all could be read; if not, what is absent says nothing.
+    - ``is_draining``: whether it takes nothing new any more.
+    - ``is_complete``: whether all could be read; if not, what is absent says nothing.
     """
 
     limit_per_s: float | None = None
-    rest_ms: int | None = None
-    is_leaving: bool = False
-    is_whole: bool = True
+    backoff_ms: int | None = None
+    is_draining: bool = False
+    is_complete: bool = True
 
 
-NOTHING = Notice()
+NO_SIGNAL = Signal()
 
 
-def nothing(_status, _headers):
+def no_signal(_status, _headers):
     """Reads no notice: for endpoints whose answers bear none."""
-    return NOTHING
+    return NO_SIGNAL
 
 
 @attrs.define
@@ -56,18 +56,18 @@
     heard_ms: int = 0
     rate: rate.Rate | None = None
     rests_until_ms: int = 0
-    is_leaving: bool = False
+    is_draining: bool = False
 
-    def free_ms(self, now):
+    def available_ms(self, now):
         """From when (ms) on it takes this entry's next request; never: infinite."""
-        if self.is_leaving:
+        if self.is_draining:
             return math.inf
-        free_ms = now if self.rate is None else self.rate.free_ms(now)
-        return max(free_ms, self.rests_until_ms)
+        available_ms = now if self.rate is None else self.rate.available_ms(now)
+        return max(available_ms, self.rests_until_ms)
 
 
 @attrs.define
-class Notices:
+class Signals:
     """What was said, by an endpoint's life, of those that have said something.
 
     This entry is number *place* (0 up) of *places*.
@@ -78,7 +78,7 @@
     rng: random.Random = attrs.field(factory=random.Random)
     said_by_life: dict = attrs.field(factory=dict)
 
-    def learn(self, place, places, now):
+    def update(self, place, places, now):
         """Take in which of how many entries this one is."""
         if (place, places) == (self.place, self.places) or places < 1:
             return
@@ -87,31 +87,31 @@
             if said.rate is not None:
                 said.rate.change(self._part(said.rate.per_s, life), now)
 
-    def take(self, life, notice, sent_ms, now):
+    def apply(self, life, notice, sent_ms, now):
         """Take in the *notice* of an answer to a request sent at *sent_ms*."""
         said = self.said_by_life.get(life)
         if said is None:
-            if notice == NOTHING:
+            if notice == NO_SIGNAL:
                 return
             said = self.said_by_life[life] = Said()
         said.heard_ms = now
-        if notice.rest_ms is not None:
-            self._take_rest(life, said, notice.rest_ms, now)
+        if notice.backoff_ms is not None:
+            self._take_rest(life, said, notice.backoff_ms, now)
         self._take_limit(life, said, notice, sent_ms, now)
-        if notice.is_leaving and not said.is_leaving:
-            said.is_leaving = True
+        if notice.is_draining and not said.is_draining:
+            said.is_draining = True
             log.info("endpoint_leaves", endpoint_id=life)
 
-    def _take_rest(self, life, said, rest_ms, now):
-        said.rests_until_ms = max(said.rests_until_ms, now + rest_ms)
-        log.info("endpoint_rests", endpoint_id=life, rest_ms=rest_ms)
+    def _take_rest(self, life, said, backoff_ms, now):
+        said.rests_until_ms = max(said.rests_until_ms, now + backoff_ms)
+        log.info("endpoint_rests", endpoint_id=life, rest_ms=backoff_ms)
 
     def _take_limit(self, life, said, notice, sent_ms, now):
         known, per_s = said.rate, notice.limit_per_s
         if per_s is None:
             # Answers overtake each other: one that was asked for before the limit was
             # named says nothing of its end.
-            if known is None or sent_ms <= known.named_ms or not notice.is_whole:
+            if known is None or sent_ms <= known.named_ms or not notice.is_complete:
                 return
             said.rate = None
         elif known is None:
@@ -134,10 +134,10 @@
     def _part(self, per_s, life):
         return rate.Part.of(per_s, life, self.place, self.places)
 
-    def free_ms(self, life, now):
+    def available_ms(self, life, now):
         """From when (ms) on the endpoint takes the next request; never: infinite."""
         said = self.said_by_life.get(life)
-        return now if said is None else said.free_ms(now)
+        return now if said is None else said.available_ms(now)
 
     def sent(self, life, now):
         """A request is sent to the endpoint."""
--- a/dunlinpoint/routing/groups.py
+++ b/dunlinpoint/routing/groups.py
@@ -16,7 +16,7 @@
 
 import attrs
 
-from dunlinpoint.routing import late, pace
+from dunlinpoint.routing import admission_control, latency
 
 # How often shares change, and by which power of the ratio of pauses: a group
 # with passes twice as long loses a sixth of its share a turn, and half of it in
@@ -61,17 +61,19 @@
     seen_by_group: dict = attrs.field(factory=dict)
     pace_by_group: dict = attrs.field(factory=dict)
     slots: float = 0.0
-    queue: late.Queue = attrs.field(factory=late.Queue)
+    queue: latency.Queue = attrs.field(factory=latency.Queue)
     turn_ms: int = 0
 
-    def pace(self, group):
-        """The ``Pace`` of *group*."""
+    def controller(self, group):
+        """The ``AdmissionController`` of *group*."""
         found = self.pace_by_group.get(group)
         if found is None:
-            found = self.pace_by_group[group] = pace.Pace(self.allowed_ms)
+            found = self.pace_by_group[group] = admission_control.AdmissionController(
+                self.allowed_ms
+            )
         return found
 
-    def learn(self, sizes, sizes_here, slots):
+    def update(self, sizes, sizes_here, slots):
         """Take in how many endpoints each group has, and how many in this zone.
 
         *slots* is this entry's part of what all of them run at once.
@@ -101,15 +103,15 @@
         return [
             group
             for group in usable
-            if draw < self.pace(group).share_let_in_lasting(now, returned)
+            if draw < self.controller(group).long_window_admitted_share(now, returned)
         ]
 
-    def with_slots(self, usable):
+    def free_slots(self, usable):
         """How many streams of late callers may begin now, by group of *usable*."""
         spare = {
             group: int(
-                late.SLOTS_SHARE * self.slots * self.share_by_group.get(group, 0)
-                - self.pace(group).in_flight
+                latency.SLOTS_SHARE * self.slots * self.share_by_group.get(group, 0)
+                - self.controller(group).in_flight
             )
             for group in usable
         }
@@ -117,26 +119,26 @@
 
     def choose(self, usable, now, returned, rng):
         """A group of *usable* that has room, drawn by share, or ``None``."""
-        open_to = [g for g in usable if self.pace(g).has_room(now, rng, returned)]
+        open_to = [g for g in usable if self.controller(g).has_room(now, rng, returned)]
         if len(open_to) < 2:
             return open_to[0] if open_to else None
         weights = [self.share_by_group.get(g, LEAST_SHARE) for g in open_to]
         return rng.choices(open_to, weights)[0]
 
-    def left(self, group):
+    def stream_ended(self, group):
         """A stream of *group* is over.
 
-        The group may have been forgotten meanwhile: counted in a new ``Pace``, its
-        streams would leave that with fewer than none in flight, and let in too
-        many when the group is back.
+        The group may have been forgotten meanwhile: counted in a new
+        ``AdmissionController``, its streams would leave that with fewer than none in
+        flight, and let in too many when the group is back.
         """
         if group in self.pace_by_group:
             self.pace_by_group[group].ended()
 
-    def saw(self, group, pause_ms, now):
+    def record_gap(self, group, pause_ms, now):
         """A stream of *group* had its next event after *pause_ms*."""
-        self.pace(group).saw(pause_ms, now)
-        if pause_ms <= pace.STOOD * self.allowed_ms:
+        self.controller(group).record_gap(pause_ms, now)
+        if pause_ms <= admission_control.STOOD * self.allowed_ms:
             seen = self.seen_by_group.get(group)
             if seen is None or now - seen.at_ms > UNSEEN_MS:
                 self.seen_by_group[group] = Seen(pause_ms, now)
--- a/dunlinpoint/routing/late.py
+++ b/dunlinpoint/routing/latency.py
@@ -18,7 +18,7 @@
 SLOTS_SHARE = 1.1
 
 
-def is_late(left_ms, timeout_ms, aim_ms):
+def is_past_latency_target(left_ms, timeout_ms, aim_ms):
     """Whether a caller with *left_ms* of a route's *timeout_ms* is past its aim.
 
     A route without an aim (0) has no late callers.
@@ -26,7 +26,7 @@
     return aim_ms > 0 and timeout_ms - left_ms > aim_ms
 
 
-def own_slots(members, zone, places):
+def entry_slots(members, zone, places):
     """The part of *members*' slots that falls to one of *places* entries of *zone*."""
     near = [m for m in members if m.zone == zone]
     zones = 1 if near else len({m.zone for m in members})
--- a/dunlinpoint/routing/outage.py
+++ b/dunlinpoint/routing/outage.py
@@ -24,17 +24,17 @@
 LEAST_OUTAGE_MS = 2500
 # For so long after a group opened callers are about who waited for it: as long as a
 # caller of streams has.
-WORKED_OFF_MS = 8000
+BACKLOG_DRAIN_MS = 8000
 # Callers of streams leave when nothing has come for the longest of these: a time, so
 # many times the aim of the first event, so many times the allowed pause.
 LEAST_PATIENCE_MS = 2000
 PATIENCE_AIMS = 4
 PATIENCE_PAUSES = 8
 # The part of that which the first event takes after the group has opened.
-FIRST_EVENT_MS = 250
+FIRST_EVENT_RESERVE_MS = 250
 # What most whole answers take: a caller with less left is not kept waiting, and not
 # begun after an outage in a slot that another could use.
-ANSWER_MS = 1500
+TYPICAL_ANSWER_MS = 1500
 # A caller heeds a time to come back of up to a third of what it has left.
 RETRY_AFTER_SHARE = 0.33
 # Callers are sent back spread over this part of the time, so that those whose streams
@@ -46,7 +46,7 @@
 class Suspicion:
     """A group that one of its endpoints said to be broken."""
 
-    since_ms: int
+    outage_start_ms: int
     probe_ms: int
 
 
@@ -65,7 +65,7 @@
     suspicion_by_group: dict = attrs.field(factory=dict)
     opened_ms_by_group: dict = attrs.field(factory=dict)
 
-    def learn(self, ranks, live_addresses, now):
+    def update(self, ranks, live_addresses, now):
         """Take in what the agents of *ranks* say; the groups that opened."""
         for rank in ranks:
             self.group_by_address[rank.engine] = rank.group
@@ -112,13 +112,13 @@
             self.suspicion_by_group[group] = Suspicion(now, now + PROBE_MS)
         return True
 
-    def heard(self, member):
+    def data_received(self, member):
         """Something came from *member*: its group does not stand."""
         if self.suspicion_by_group:
             group = self.group_by_address.get(address_of(member))
             self.suspicion_by_group.pop(group, None)
 
-    def stands(self, member, now):
+    def is_stalled(self, member, now):
         """Whether the group of *member* is to be sent nothing."""
         group = self.group_by_address.get(address_of(member))
         if group is None:
@@ -135,38 +135,38 @@
         if suspicion is not None:
             suspicion.probe_ms = now + PROBE_MS
 
-    def opened_lately(self, group, now):
+    def opened_recently(self, group, now):
         """Whether callers are still about who waited for *group* to open."""
         opened_ms = self.opened_ms_by_group.get(group)
-        return opened_ms is not None and now - opened_ms < WORKED_OFF_MS
+        return opened_ms is not None and now - opened_ms < BACKLOG_DRAIN_MS
 
-    def since_ms(self, members, now):
+    def outage_start_ms(self, members, now):
         """When the outage of the last group of *members* to stand began."""
         starts = []
         for group in {self.group_by_address.get(address_of(m)) for m in members}:
             if group in self.broken_since_by_group:
                 starts.append(self.broken_since_by_group[group])
             if group in self.suspicion_by_group:
-                starts.append(self.suspicion_by_group[group].since_ms)
+                starts.append(self.suspicion_by_group[group].outage_start_ms)
         return max(starts, default=now)
 
 
-def patience_ms(aim_ms, pause_ms):
+def event_timeout_ms(aim_ms, pause_ms):
     """How long (ms) a caller of a stream waits for the next event, at least."""
     aims, pauses = PATIENCE_AIMS * aim_ms, PATIENCE_PAUSES * pause_ms
     return max(LEAST_PATIENCE_MS, aims, pauses)
 
 
-def heeded_ms(left_ms):
+def max_retry_after_ms(left_ms):
     """The longest time to come back (ms) that a caller with *left_ms* heeds."""
     return max(0, left_ms) * RETRY_AFTER_SHARE
 
 
-def come_back_ms(since_ms, now, left_ms, rng):
+def outage_retry_after_ms(since_ms, now, left_ms, rng):
     """When a caller refused in an outage should come back, in ms from *now*.
 
     An outage that has lasted a while lasts about as long again, and a caller
     that comes back too soon is refused again and may have no try left.
     """
     wanted = max(LEAST_OUTAGE_MS, now - since_ms)
-    return min(wanted, heeded_ms(left_ms)) * (1 - SPREAD * rng.random())
+    return min(wanted, max_retry_after_ms(left_ms)) * (1 - SPREAD * rng.random())
--- a/dunlinpoint/routing/pick.py
+++ b/dunlinpoint/routing/pick.py
@@ -10,8 +10,8 @@
 failure in a row: health reports lag and some endpoints fail while they
 report health, so what counts is what requests met.
 
-All that is known of an endpoint is kept by its *life* (:func:`life`): one that
-has started again is as idle and as sound as any new one.
+All that is known of an endpoint is kept by its incarnation (:func:`incarnation_key`):
+one that has started again is as idle and as sound as any new one.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 import attrs
 
-from dunlinpoint.routing import notices
+from dunlinpoint.routing import endpoint_signals
 
 # How many requests more an endpoint of the entry's own zone may have: the way
 # to another zone costs a millisecond or two, a queue far more.
@@ -33,11 +33,11 @@
 DEFAULT_SLOTS = 4
 # An endpoint with requests at it that has sent nothing for so long, while
 # another of its service has within OTHERS_MS, is taken for gone.
-SILENCE_MS = 1000
+UNRESPONSIVE_MS = 1000
 OTHERS_MS = 200
 
 
-def life(member):
+def incarnation_key(member):
     """What names one start of an endpoint, which may start again under its id.
 
     Kept by the id alone, requests in flight at the earlier start and its failures
@@ -65,7 +65,7 @@
 
     zone: str
     record_by_life: dict = attrs.field(factory=dict)
-    notices: notices.Notices = attrs.field(factory=notices.Notices)
+    signals: endpoint_signals.Signals = attrs.field(factory=endpoint_signals.Signals)
 
     def record(self, name):
         """The record of the life *name*, new if there is none."""
@@ -93,8 +93,8 @@
         best, least = None, None
         spared, soonest = None, None
         for place, member in enumerate(members):
-            name = life(member)
-            if name in exclude or self.notices.free_ms(name, now) > now:
+            name = incarnation_key(member)
+            if name in exclude or self.signals.available_ms(name, now) > now:
                 continue
             record = self.record(name)
             if record.avoid_until_ms > now:
@@ -106,10 +106,10 @@
                 best, least = member, weight
         return spared if best is None else best
 
-    def free_ms(self, members, now, exclude=()):
+    def available_ms(self, members, now, exclude=()):
         """From when (ms) on one of *members* takes a request, ``None`` if none will."""
-        names = [name for name in map(life, members) if name not in exclude]
-        times = [self.notices.free_ms(name, now) for name in names]
+        names = [name for name in map(incarnation_key, members) if name not in exclude]
+        times = [self.signals.available_ms(name, now) for name in names]
         return min((at for at in times if at != math.inf), default=None)
 
     def _weight(self, member, record, order, near):
@@ -126,11 +126,11 @@
         """A request at the endpoint is over."""
         self.record(name).in_flight -= 1
 
-    def heard(self, name, now):
+    def data_received(self, name, now):
         """Some bytes of an answer came from the endpoint."""
         self.record(name).heard_ms = now
 
-    def is_gone(self, name, members, now):
+    def is_unresponsive(self, name, members, now):
         """Whether the endpoint is silent while others of its kind are not.
 
         A frozen or unreachable machine closes no connection; its requests
@@ -138,9 +138,9 @@
         that is silent among others that are not is no busy one; where all
         are silent, the group stands and another try would stand as well.
         """
-        if now - self.record(name).heard_ms < SILENCE_MS:
+        if now - self.record(name).heard_ms < UNRESPONSIVE_MS:
             return False
-        others = (other for other in map(life, members) if other != name)
+        others = (other for other in map(incarnation_key, members) if other != name)
         return any(now - self.record(o).heard_ms < OTHERS_MS for o in others)
 
     def succeeded(self, name):
--- a/dunlinpoint/routing/rate.py
+++ b/dunlinpoint/routing/rate.py
@@ -70,7 +70,7 @@
         self.part = part
         self.turn_ms = min(self.turn_ms, now + part.pause_ms)
 
-    def free_ms(self, now):
+    def available_ms(self, now):
         """From when (ms) on the next request may be sent."""
         missed = now - self.turn_ms
         if missed > self.part.kept_ms:
--- a/dunlinpoint/routing/tests/model.py
+++ b/dunlinpoint/routing/tests/model.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from dunlinpoint.routing import pick, spread
+from dunlinpoint.routing import endpoint_order, pick
 from dunlinpoint.wire.gen.dunlin import ttypes
 
 WARM_S = 5.0
@@ -110,10 +110,12 @@
         return cls(f"z{zone}", number // ZONES, places, pick.Picker(f"z{zone}"))
 
 
-def in_turn(members, entry, _rng):
+def round_robin(members, entry, _rng):
     """Every entry begins at its own place."""
     if entry.arranged is None:
-        entry.arranged = spread.arranged(members, entry.zone, entry.place, entry.places)
+        entry.arranged = endpoint_order.preferred_order(
+            members, entry.zone, entry.place, entry.places
+        )
     return entry.arranged
 
 
--- a/dunlinpoint/routing/tests/overload.py
+++ b/dunlinpoint/routing/tests/overload.py
@@ -14,8 +14,8 @@
 
 import attrs
 
-from dunlinpoint.forward import room
-from dunlinpoint.routing import late, outage, pace
+from dunlinpoint.forward import capacity
+from dunlinpoint.routing import admission_control, latency, outage
 from dunlinpoint.routing.tests import passes
 
 # The way to the engine and back, and what the busiest rank has over the mean.
@@ -110,20 +110,20 @@
     engine: Engine = SMALL
     stands_ms: tuple | None = None
     sends_off_at_first: bool = False
-    late_share: float = late.SLOTS_SHARE
+    late_share: float = latency.SLOTS_SHARE
     late_are_last: bool = True
 
-    def stands(self, now):
+    def is_stalled(self, now):
         """Whether nothing begins at *now*."""
         if self.stands_ms is None:
             return False
         return self.stands_ms[0] <= now < self.stands_ms[1]
 
-    def opened_lately(self, now):
+    def opened_recently(self, now):
         """Whether callers are about that waited for the group to open."""
         if self.stands_ms is None:
             return False
-        return 0 <= now - self.stands_ms[1] < outage.WORKED_OFF_MS
+        return 0 <= now - self.stands_ms[1] < outage.BACKLOG_DRAIN_MS
 
 
 @attrs.define
@@ -135,7 +135,7 @@
     )
 
     def count(self, caller, kind):
-        """One caller's end: ``in_time``, ``late`` or ``lost``."""
+        """One caller's end: ``in_time``, ``latency`` or ``lost``."""
         self.by_window[int(caller.asked_ms // WINDOW_MS)][kind] += 1
 
     def total(self, kind):
@@ -149,8 +149,8 @@
     @property
     def worth(self):
         """Mean worth of a caller."""
-        late, lost = LATE * self.total("late"), REFUSED_TWICE * self.total("lost")
-        return (self.total("in_time") + late + lost) / self.asked
+        latency, lost = LATE * self.total("late"), REFUSED_TWICE * self.total("lost")
+        return (self.total("in_time") + latency + lost) / self.asked
 
     def share_in_time(self, window):
         """The part of those in time who asked in one window."""
@@ -168,7 +168,7 @@
     prompt: int
     draw: float
     returned: bool = False
-    is_late: bool = False
+    is_past_latency_target: bool = False
     last_ms: float | None = None
     came_ms: float = 0.0
     turn: tuple | None = None
@@ -181,41 +181,44 @@
         """What becomes of the caller of a stream that is whole at *now*."""
         if now - self.asked_ms > TIMEOUT_MS:
             return "lost"
-        return "late" if self.is_late else "in_time"
+        return "late" if self.is_past_latency_target else "in_time"
 
     def is_past_aim(self, engine, now):
         """Whether its first event can't be in time any more."""
-        return late.is_late(self.asked_ms - now, 0, engine.aim_ms)
+        return latency.is_past_latency_target(self.asked_ms - now, 0, engine.aim_ms)
 
     def wait_until(self, engine):
-        """Until when its caller waits at its entry for room, as in :mod:`room`."""
+        """Until when its caller waits at its entry for room, as in :mod:`capacity`."""
         if not self.waits_its_turn:
-            return self.came_ms + room.WAIT_SHARE * engine.aim_ms
+            return self.came_ms + capacity.WAIT_SHARE * engine.aim_ms
         return self.leaves_ms(engine)
 
     def leaves_ms(self, engine):
         """When its caller would leave before the first event comes."""
-        patience_ms = outage.patience_ms(engine.aim_ms, engine.allowed_ms)
-        until_ms = self.came_ms + patience_ms - outage.FIRST_EVENT_MS
-        return min(until_ms, self.asked_ms + TIMEOUT_MS - outage.ANSWER_MS)
+        event_timeout_ms = outage.event_timeout_ms(engine.aim_ms, engine.allowed_ms)
+        until_ms = self.came_ms + event_timeout_ms - outage.FIRST_EVENT_RESERVE_MS
+        return min(until_ms, self.asked_ms + TIMEOUT_MS - outage.TYPICAL_ANSWER_MS)
 
 
 @attrs.define
 class Entry:
     """One entry: who it lets in by passes, and which late callers wait there."""
 
-    pace: object
-    queue: late.Queue = attrs.field(factory=late.Queue)
+    controller: object
+    queue: latency.Queue = attrs.field(factory=latency.Queue)
 
     def lets_in(self, load, stream, now):
         """Whether *stream* is not refused at once."""
-        if load.opened_lately(now):
+        if load.opened_recently(now):
             return True
-        return self.pace.share_let_in_lasting(now, stream.returned) > stream.draw
+        return (
+            self.controller.long_window_admitted_share(now, stream.returned)
+            > stream.draw
+        )
 
-    def has_room(self, stream, now, rng, engine, own_slots):
+    def has_room(self, stream, now, rng, engine, entry_slots):
         """Whether *stream* begins now."""
-        if not self.pace.has_room(now, rng, stream.returned):
+        if not self.controller.has_room(now, rng, stream.returned):
             return False
         if not stream.waits_its_turn:
             return True
@@ -223,7 +226,10 @@
             until_ms = stream.leaves_ms(engine)
             stream.turn = not stream.returned, until_ms, id(stream)
             self.queue.enter(stream.turn)
-        return self.queue.ahead_of(stream.turn) + 1 <= own_slots - self.pace.in_flight
+        return (
+            self.queue.ahead_of(stream.turn) + 1
+            <= entry_slots - self.controller.in_flight
+        )
 
     def leave(self, stream):
         """*stream* waits for no slot here any more."""
@@ -239,23 +245,23 @@
     return now < stream.leaves_ms(load.engine)
 
 
-def play(load, make_pace=pace.Pace):
+def play(load, make_pace=admission_control.AdmissionController):
     """Play *load* with entries that admit by ``make_pace(allowed_ms)``."""
     engine = load.engine
     rng = random.Random(load.seed)
     weights = [rng.uniform(0.5, 1.5) for _ in range(load.entries)]
     entries = [Entry(make_pace(engine.allowed_ms)) for _ in range(load.entries)]
-    own_slots = load.late_share * engine.slots * load.ranks / load.entries
+    entry_slots = load.late_share * engine.slots * load.ranks / load.entries
     result, now = Result(), 0.0
     running, queued, coming = [], [], []
     while now < load.length_ms:
-        stands = load.stands(now)
+        stands = load.is_stalled(now)
         if stands:
             lose(running + queued, entries, result)
             running, queued, took = [], [], TICK_MS
         else:
             if load.late_are_last:
-                queued.sort(key=lambda stream: stream.is_late)
+                queued.sort(key=lambda stream: stream.is_past_latency_target)
             began, queued = split(queued, engine.slots * load.ranks - len(running))
             running += began
             read = sum(s.prompt for s in began)
@@ -266,7 +272,7 @@
             heapq.heappush(coming, (caller.asked_ms, rng.random(), caller))
         now += took
         for stream in running:
-            step(engine, stream, now, entries[stream.entry].pace, result)
+            step(engine, stream, now, entries[stream.entry].controller, result)
         running = [s for s in running if s.events > 0]
         while coming and coming[0][0] <= now:
             at, _, caller = heapq.heappop(coming)
@@ -275,20 +281,22 @@
                 lets_in, has_room, stays = True, False, waits(load, caller, at)
             else:
                 lets_in = entry.lets_in(load, caller, now)
-                caller.waits_its_turn = load.opened_lately(now) and caller.is_past_aim(
-                    engine, now
-                )
+                caller.waits_its_turn = load.opened_recently(
+                    now
+                ) and caller.is_past_aim(engine, now)
                 has_room = lets_in and entry.has_room(
-                    caller, now, rng, engine, own_slots
+                    caller, now, rng, engine, entry_slots
                 )
                 stays = lets_in and at < caller.wait_until(engine)
             if stays and not has_room:
-                heapq.heappush(coming, (at + room.LOOK_MS, rng.random(), caller))
+                heapq.heappush(
+                    coming, (at + capacity.POLL_INTERVAL_MS, rng.random(), caller)
+                )
                 continue
             entry.leave(caller)
             if has_room:
-                entry.pace.began()
-                caller.is_late = caller.is_past_aim(engine, now)
+                entry.controller.began()
+                caller.is_past_latency_target = caller.is_past_aim(engine, now)
                 queued.append(caller)
                 continue
             if caller.returned:
@@ -302,7 +310,7 @@
 def lose(streams, entries, result):
     """The group broke: *streams* are broken off, and their callers have gone."""
     for stream in streams:
-        entries[stream.entry].pace.ended()
+        entries[stream.entry].controller.ended()
         result.count(stream, "lost")
 
 
@@ -312,22 +320,24 @@
     caller.entry = rng.choices(range(len(weights)), weights)[0]
     caller.draw = rng.random()
     left_ms = caller.asked_ms + TIMEOUT_MS - at
-    if load.stands(at):
-        wait_ms = outage.come_back_ms(load.stands_ms[0], at, left_ms, rng)
+    if load.is_stalled(at):
+        wait_ms = outage.outage_retry_after_ms(load.stands_ms[0], at, left_ms, rng)
     else:
-        wait_ms = rng.uniform(*(room.LASTING_RETRY_MS if lasting else room.RETRY_MS))
-    caller.came_ms = at + min(wait_ms, outage.heeded_ms(left_ms))
+        wait_ms = rng.uniform(
+            *(capacity.OVERLOAD_RETRY_MS if lasting else capacity.RETRY_MS)
+        )
+    caller.came_ms = at + min(wait_ms, outage.max_retry_after_ms(left_ms))
     return caller.came_ms
 
 
 def step(engine, stream, now, control, result):
     """One event of *stream* at *now*."""
     if stream.last_ms is None:
-        stream.is_late |= now + WAY_MS - stream.asked_ms > engine.aim_ms
+        stream.is_past_latency_target |= now + WAY_MS - stream.asked_ms > engine.aim_ms
     else:
         pause_ms = now - stream.last_ms
-        stream.is_late |= pause_ms > engine.allowed_ms
-        control.saw(pause_ms, int(now))
+        stream.is_past_latency_target |= pause_ms > engine.allowed_ms
+        control.record_gap(pause_ms, int(now))
     stream.last_ms = now
     stream.events -= 1
     if stream.events <= 0:
@@ -356,7 +366,7 @@
     def __init__(self, allowed_ms):
         pass
 
-    def saw(self, pause_ms, now):
+    def record_gap(self, pause_ms, now):
         pass
 
     def began(self):
@@ -365,7 +375,7 @@
     def ended(self):
         pass
 
-    def share_let_in_lasting(self, now, returned):
+    def long_window_admitted_share(self, now, returned):
         return 1.0
 
     def has_room(self, now, rng, returned):
--- a/dunlinpoint/routing/tests/passes.py
+++ b/dunlinpoint/routing/tests/passes.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from dunlinpoint.routing import pace
+from dunlinpoint.routing import admission_control
 
 STEPS = 5
 STEP_MS = 5.85
@@ -56,7 +56,9 @@
 def play(load, limited):
     """Play *load*, with entries that keep to their pace or let everyone in."""
     rng = random.Random(load.seed)
-    paces = [pace.Pace(ALLOWED_MS) for _ in range(load.entries)]
+    paces = [
+        admission_control.AdmissionController(ALLOWED_MS) for _ in range(load.entries)
+    ]
     streams, result, now = [], Result(), 0.0
     began = 0
     while now < load.length_ms:
@@ -65,7 +67,7 @@
         for stream in streams:
             stream[1] -= 1
             stream[2] |= took > ALLOWED_MS
-            paces[stream[0]].saw(took, int(now))
+            paces[stream[0]].record_gap(took, int(now))
         for entry, left, was_late in streams:
             if not left:
                 paces[entry].ended()
--- a/dunlinpoint/routing/tests/test_pace.py
+++ b/dunlinpoint/routing/tests/test_admission_control.py
@@ -5,39 +5,41 @@
 
 import pytest
 
-from dunlinpoint.routing import pace
+from dunlinpoint.routing import admission_control
 from dunlinpoint.routing.tests import overload, passes
 
 ALLOWED_MS = 120
 
 
 def paced(in_flight, pause_ms=None, now=1000):
-    found = pace.Pace(ALLOWED_MS)
+    found = admission_control.AdmissionController(ALLOWED_MS)
     for _ in range(in_flight):
         found.began()
     if pause_ms is not None:
         for _ in range(in_flight):
-            found.saw(pause_ms, now)
+            found.record_gap(pause_ms, now)
     return found
 
 
 def test_nobody_is_kept_out_while_passes_are_short():
-    assert paced(20).share_let_in(1000) == 1
-    assert paced(20, 60).share_let_in(1000) == 1
+    assert paced(20).admitted_share(1000) == 1
+    assert paced(20, 60).admitted_share(1000) == 1
 
 
 def test_long_passes_keep_new_ones_out_until_they_are_short_again():
     found = paced(20, 118)
-    assert found.share_let_in(1000) == 0
+    assert found.admitted_share(1000) == 0
     assert not found.has_room(1000, random.Random(1))
-    found.saw(95, 1000 + pace.RECENT_MS + 1)
-    assert 0 < found.share_let_in(1200) < 1
-    found.saw(55, 1200 + pace.RECENT_MS + 1)
-    assert found.share_let_in(1400) == 1
+    found.record_gap(95, 1000 + admission_control.RECENT_MS + 1)
+    assert 0 < found.admitted_share(1200) < 1
+    found.record_gap(55, 1200 + admission_control.RECENT_MS + 1)
+    assert found.admitted_share(1400) == 1
 
 
 def test_the_longer_passes_are_the_fewer_are_let_in():
-    shares = [paced(20, pause_ms).share_let_in(1000) for pause_ms in range(70, 116, 4)]
+    shares = [
+        paced(20, pause_ms).admitted_share(1000) for pause_ms in range(70, 116, 4)
+    ]
     assert shares == sorted(shares, reverse=True)
     assert len(set(shares)) > 5
 
@@ -45,12 +47,12 @@
 def test_a_caller_that_came_back_finds_more_room():
     # A rush: who was refused once has no try after this one.
     found = paced(10, 98)
-    assert found.share_let_in(1000, returned=True) > found.share_let_in(1000)
-    just_over = paced(10, pace.NONE_IN * ALLOWED_MS)
-    assert just_over.share_let_in(1000) == 0
-    assert just_over.share_let_in(1000, returned=True) > 0
-    assert pace.has_returned(6900, 8000)
-    assert not pace.has_returned(7900, 8000)
+    assert found.admitted_share(1000, returned=True) > found.admitted_share(1000)
+    just_over = paced(10, admission_control.NONE_IN * ALLOWED_MS)
+    assert just_over.admitted_share(1000) == 0
+    assert just_over.admitted_share(1000, returned=True) > 0
+    assert admission_control.is_caller_retry(6900, 8000)
+    assert not admission_control.is_caller_retry(7900, 8000)
 
 
 def test_some_are_always_let_in():
@@ -61,26 +63,26 @@
     # Guards against a limit that the first passes after an outage leave behind.
     found = paced(20, 119)
     for _ in range(20):
-        found.saw(55, 1200)
-    assert found.share_let_in(1200) == 1
+        found.record_gap(55, 1200)
+    assert found.admitted_share(1200) == 1
 
 
 def test_passes_of_long_ago_keep_nobody_out():
     # Guards against callers refused by an entry at which nothing runs any more.
     found = paced(20, 118)
-    assert found.share_let_in(1000 + pace.STALE_MS + 1) == 1
+    assert found.admitted_share(1000 + admission_control.STALE_MS + 1) == 1
 
 
 def test_a_group_that_stood_is_no_slow_one():
     # Guards against taking the pause of an outage for the pace of passes.
-    assert paced(20, 3000).share_let_in(1000) == 1
+    assert paced(20, 3000).admitted_share(1000) == 1
 
 
 def lasting(pause_ms, for_ms, in_flight=20):
-    """A ``Pace`` that saw passes of *pause_ms* for so long, to the moment *for_ms*."""
+    """An ``AdmissionController`` that saw passes of *pause_ms* until *for_ms*."""
     found = paced(in_flight)
     for now in range(0, for_ms + 1, 50):
-        found.saw(pause_ms, now)
+        found.record_gap(pause_ms, now)
     return found
 
 
@@ -88,38 +90,40 @@
     # Guards against callers sent away whom a short wait would have in time.
     found = lasting(45, 6000)
     for now in range(6050, 6450, 50):
-        found.saw(130, now)
-    assert found.share_let_in(6400) == 0
-    assert found.share_let_in_lasting(6400) == 1
+        found.record_gap(130, now)
+    assert found.admitted_share(6400) == 0
+    assert found.long_window_admitted_share(6400) == 1
 
 
 def test_long_passes_that_last_have_a_part_refused_until_they_are_short():
     found = lasting(150, 6000)
-    assert found.share_let_in_lasting(6000) < 0.1
+    assert found.long_window_admitted_share(6000) < 0.1
     for now in range(6050, 12000, 50):
-        found.saw(60, now)
-    assert found.share_let_in_lasting(12000) == 1
+        found.record_gap(60, now)
+    assert found.long_window_admitted_share(12000) == 1
 
 
 def test_passes_that_make_nobody_late_have_nobody_refused_at_once():
     # Guards against refusing for good where engines have long passes by nature.
-    assert lasting(100, 20_000).share_let_in_lasting(20_000) == 1
+    assert lasting(100, 20_000).long_window_admitted_share(20_000) == 1
 
 
 def test_in_a_state_that_lasts_those_who_came_back_are_let_in_last():
     found = lasting(105, 2000)
-    found.saw(ALLOWED_MS + 1, 2000)
-    assert 0 < found.share_let_in_lasting(2000, returned=True)
-    shares = [found.share_let_in_lasting(2000, returned) for returned in (True, False)]
+    found.record_gap(ALLOWED_MS + 1, 2000)
+    assert 0 < found.long_window_admitted_share(2000, returned=True)
+    shares = [
+        found.long_window_admitted_share(2000, returned) for returned in (True, False)
+    ]
     assert shares[0] < shares[1] < 1
 
 
 def test_the_first_passes_after_an_outage_refuse_nobody_at_once():
     # Guards against taking the first pass for the mean of the last seconds.
     found = lasting(150, 6000)
-    opened = 6000 + 3 * pace.STALE_MS
-    found.saw(140, opened)
-    assert found.share_let_in_lasting(opened) == 1
+    opened = 6000 + 3 * admission_control.STALE_MS
+    found.record_gap(140, opened)
+    assert found.long_window_admitted_share(opened) == 1
 
 
 def rush(now):
--- a/dunlinpoint/routing/tests/test_groups.py
+++ b/dunlinpoint/routing/tests/test_groups.py
@@ -2,7 +2,7 @@
 
 import random
 
-from dunlinpoint.routing import groups, pace
+from dunlinpoint.routing import admission_control, groups
 from dunlinpoint.routing.tests import zones
 
 # Four zones of 18 endpoints each, and three groups of 24 that lie across them; the
@@ -44,20 +44,20 @@
 
 def test_while_all_are_quick_streams_stay_in_their_zone():
     calm = groups.Groups(120)
-    calm.learn({"g1": 24, "g2": 24}, {"g1": 24}, SLOTS)
+    calm.update({"g1": 24, "g2": 24}, {"g1": 24}, SLOTS)
     for now in range(0, 60_000, 125):
-        calm.saw("g1", 50, now)
-        calm.saw("g2", 50, now)
+        calm.record_gap("g1", 50, now)
+        calm.record_gap("g2", 50, now)
     assert calm.share_by_group["g1"] > 0.9
     assert calm.share_by_group["g2"] >= groups.LEAST_SHARE
 
 
 def test_a_group_without_room_is_passed_over():
     found = groups.Groups(120)
-    found.learn({"g1": 24, "g2": 24}, {"g1": 24}, SLOTS)
-    full = found.pace("g1")
+    found.update({"g1": 24, "g2": 24}, {"g1": 24}, SLOTS)
+    full = found.controller("g1")
     full.in_flight = 9
-    full.saw(pace.NONE_IN * 120, 1000)
+    full.record_gap(admission_control.NONE_IN * 120, 1000)
     rng = random.Random(1)
     assert {found.choose(["g1", "g2"], 1000, False, rng) for _ in range(9)} == {"g2"}
     assert found.choose(["g1"], 1000, False, rng) is None
@@ -65,8 +65,8 @@
 
 def test_groups_that_are_gone_are_forgotten():
     found = groups.Groups(120)
-    found.learn({"": 3}, {"": 3}, SLOTS)
-    found.learn({"g1": 24, "g2": 24}, {"g2": 24}, SLOTS)
+    found.update({"": 3}, {"": 3}, SLOTS)
+    found.update({"g1": 24, "g2": 24}, {"g2": 24}, SLOTS)
     assert set(found.share_by_group) == {"g1", "g2"}
     assert abs(sum(found.share_by_group.values()) - 1) < 0.01
 
@@ -74,9 +74,9 @@
 def test_streams_of_a_forgotten_group_leave_nothing_behind():
     # Guards against a count of streams in flight that falls below none.
     found = groups.Groups(120)
-    found.learn({"g1": 24}, {"g1": 24}, SLOTS)
-    found.pace("g1").began()
-    found.learn({}, {}, SLOTS)
-    found.left("g1")
-    found.learn({"g1": 24}, {"g1": 24}, SLOTS)
-    assert found.pace("g1").in_flight == 0
+    found.update({"g1": 24}, {"g1": 24}, SLOTS)
+    found.controller("g1").began()
+    found.update({}, {}, SLOTS)
+    found.stream_ended("g1")
+    found.update({"g1": 24}, {"g1": 24}, SLOTS)
+    assert found.controller("g1").in_flight == 0
--- a/dunlinpoint/routing/tests/test_late.py
+++ b/dunlinpoint/routing/tests/test_latency.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from dunlinpoint.routing import late, outage
+from dunlinpoint.routing import latency, outage
 from dunlinpoint.routing.tests import overload
 from dunlinpoint.wire.gen.dunlin import ttypes
 
@@ -74,10 +74,10 @@
 
 
 def test_a_caller_is_late_once_its_aim_has_passed():
-    assert not late.is_late(8000, 8000, 400)
-    assert not late.is_late(7600, 8000, 400)
-    assert late.is_late(7599, 8000, 400)
-    assert not late.is_late(1, 8000, 0)
+    assert not latency.is_past_latency_target(8000, 8000, 400)
+    assert not latency.is_past_latency_target(7600, 8000, 400)
+    assert latency.is_past_latency_target(7599, 8000, 400)
+    assert not latency.is_past_latency_target(1, 8000, 0)
 
 
 def member(zone, slots=5):
@@ -86,23 +86,23 @@
 
 def test_slots_fall_to_the_entries_of_their_zone():
     members = [member("a")] * 4 + [member("b")] * 2
-    assert late.own_slots(members, "a", 2) == 10
-    assert late.own_slots(members, "b", 1) == 10
+    assert latency.entry_slots(members, "a", 2) == 10
+    assert latency.entry_slots(members, "b", 1) == 10
 
 
 def test_a_zone_without_endpoints_has_its_part_of_all_slots():
     members = [member("a")] * 4 + [member("b")] * 4
-    assert late.own_slots(members, "c", 2) == 10
-    assert late.own_slots([], "c", 0) == 0
+    assert latency.entry_slots(members, "c", 2) == 10
+    assert latency.entry_slots([], "c", 0) == 0
 
 
 def test_endpoints_that_do_not_say_how_many_they_run_have_some_slots():
     # Guards against late callers that never begin, as no slot is known.
-    assert late.own_slots([member("a", None)], "a", 1) > 0
+    assert latency.entry_slots([member("a", None)], "a", 1) > 0
 
 
 def test_who_has_no_other_try_is_next_and_then_who_would_leave_first():
-    queue = late.Queue()
+    queue = latency.Queue()
     turns = [(True, 500, 1), (False, 900, 2), (False, 700, 3)]
     for turn in turns:
         queue.enter(turn)
@@ -113,5 +113,5 @@
 
 
 def test_callers_wait_a_little_less_long_than_they_stay():
-    patience_ms = outage.patience_ms(400, 120)
-    assert 0 < outage.FIRST_EVENT_MS < patience_ms / 4
+    event_timeout_ms = outage.event_timeout_ms(400, 120)
+    assert 0 < outage.FIRST_EVENT_RESERVE_MS < event_timeout_ms / 4
--- a/dunlinpoint/routing/tests/test_outage.py
+++ b/dunlinpoint/routing/tests/test_outage.py
@@ -29,26 +29,26 @@
 def known(ranks=None, now=NOW):
     found = outage.Outages()
     ranks = ranks or [rank(i, "g" if i < 2 else "other") for i in range(4)]
-    found.learn(ranks, ADDRESSES, now)
+    found.update(ranks, ADDRESSES, now)
     return found
 
 
 def usable(found, now=NOW):
-    return [m.endpoint_id for m in ENDPOINTS if not found.stands(m, now)]
+    return [m.endpoint_id for m in ENDPOINTS if not found.is_stalled(m, now)]
 
 
 def test_a_broken_group_is_sent_nothing_and_others_are():
     found = known()
     assert usable(found) == ["i-0", "i-1", "i-2", "i-3"]
-    found.learn([rank(0, broken=True), rank(1), rank(2, "other")], ADDRESSES, NOW)
+    found.update([rank(0, broken=True), rank(1), rank(2, "other")], ADDRESSES, NOW)
     assert usable(found) == ["i-2", "i-3"]
 
 
 def test_a_group_that_opened_is_used_and_its_endpoints_are_forgiven():
     # Guards against counting what the group did against each of its ranks.
     found = known()
-    found.learn([rank(0, broken=True), rank(1)], ADDRESSES, NOW)
-    opened = found.learn([rank(0, epoch=2), rank(1, broken=True)], ADDRESSES, NOW + 9)
+    found.update([rank(0, broken=True), rank(1)], ADDRESSES, NOW)
+    opened = found.update([rank(0, epoch=2), rank(1, broken=True)], ADDRESSES, NOW + 9)
     assert opened == ["g"]
     assert len(usable(found)) == 4
 
@@ -67,14 +67,14 @@
     assert len(usable(found, later)) == 4
     found.probe(ENDPOINTS[1], later)
     assert usable(found, later) == ["i-2", "i-3"]
-    found.heard(ENDPOINTS[1])
+    found.data_received(ENDPOINTS[1])
     assert len(usable(found, later)) == 4
 
 
 def test_groups_that_are_gone_are_forgotten():
     found = known()
     found.suspect(ENDPOINTS[0], NOW)
-    found.learn([], set(), NOW)
+    found.update([], set(), NOW)
     assert found.suspicion_by_group == {} and found.group_by_address == {}
     assert found.epoch_by_group == {}
 
@@ -82,18 +82,18 @@
 def test_callers_come_back_after_the_outage_and_not_all_at_once():
     # Guards against callers that come back into the outage, or all in one moment.
     rng = random.Random(1)
-    times = [outage.come_back_ms(NOW, NOW + 100, 8000, rng) for _ in range(50)]
+    times = [outage.outage_retry_after_ms(NOW, NOW + 100, 8000, rng) for _ in range(50)]
     assert min(times) >= outage.LEAST_OUTAGE_MS * (1 - outage.SPREAD)
     assert max(times) <= 8000 / 3
     assert max(times) - min(times) > 100
-    late = [outage.come_back_ms(NOW, NOW + 100, 900, rng) for _ in range(50)]
+    late = [outage.outage_retry_after_ms(NOW, NOW + 100, 900, rng) for _ in range(50)]
     assert max(late) <= 300
 
 
 def test_callers_stay_for_the_longest_of_a_time_their_aim_and_their_pauses():
-    assert outage.patience_ms(400, 120) == 2000
-    assert outage.patience_ms(800, 120) == 3200
-    assert outage.patience_ms(400, 300) == 2400
+    assert outage.event_timeout_ms(400, 120) == 2000
+    assert outage.event_timeout_ms(800, 120) == 3200
+    assert outage.event_timeout_ms(400, 300) == 2400
 
 
 def test_an_endpoint_of_no_known_group_is_avoided_itself():
--- a/dunlinpoint/routing/tests/test_pick.py
+++ b/dunlinpoint/routing/tests/test_pick.py
@@ -6,7 +6,7 @@
 import pytest
 
 from dunlinpoint.control import followers
-from dunlinpoint.routing import pick, spread
+from dunlinpoint.routing import endpoint_order, pick
 from dunlinpoint.routing.tests import model
 from dunlinpoint.wire.gen.dunlin import ttypes
 
@@ -68,16 +68,16 @@
 
 def test_each_entry_begins_elsewhere():
     members = [member(f"m{i}") for i in range(6)]
-    first = [spread.rotated(members, i, 3)[0].endpoint_id for i in range(3)]
+    first = [endpoint_order.rotated(members, i, 3)[0].endpoint_id for i in range(3)]
     assert first == ["m0", "m2", "m4"]
-    assert spread.rotated([], 0, 3) == []
-    assert spread.rotated(members, 0, 0) == members
+    assert endpoint_order.rotated([], 0, 3) == []
+    assert endpoint_order.rotated(members, 0, 0) == members
 
 
 def test_the_entries_of_a_zone_begin_all_round_its_endpoints():
     # Guards against entries of a zone that begin at endpoints close to each other.
     members = [member(f"m{i}", f"z{i % 3}") for i in range(24)]
-    first = [spread.arranged(members, "z1", i, 4)[0] for i in range(4)]
+    first = [endpoint_order.preferred_order(members, "z1", i, 4)[0] for i in range(4)]
     assert {m.zone for m in first} == {"z1"}
     assert [m.endpoint_id for m in first] == ["m1", "m7", "m13", "m19"]
 
@@ -87,14 +87,14 @@
 
     def place(zone, name, now):
         """Place and number in the zone, then among the entries of all zones."""
-        return attrs.astuple(known.place(zone, name, now))
+        return attrs.astuple(known.position_of(zone, name, now))
 
     assert place("z1", "", 0) == (0, 0, 0, 0)
     assert place("z1", "b", 0) == (0, 1, 0, 1)
     assert place("z1", "a", 10) == (0, 2, 0, 2)
     assert place("z2", "a", 10) == (0, 1, 2, 3)
     assert place("z1", "b", 20) == (1, 2, 1, 3)
-    assert place("z1", "b", 20 + followers.KEEP_MS) == (0, 1, 0, 1)
+    assert place("z1", "b", 20 + followers.ENTRY_TIMEOUT_MS) == (0, 1, 0, 1)
 
 
 def test_a_poll_does_not_number_all_entries_anew():
@@ -102,10 +102,12 @@
     known = followers.Followers()
     names = [f"e{i}" for i in range(600)]
     for name in names:
-        known.place("z1", name, 10)
-    before = known.place_by_entry
-    assert [known.place("z1", name, 300).entries for name in names] == [600] * 600
-    assert known.place_by_entry is before
+        known.position_of("z1", name, 10)
+    before = known.position_by_entry
+    assert [known.position_of("z1", name, 300).entry_count for name in names] == [
+        600
+    ] * 600
+    assert known.position_by_entry is before
 
 
 # The most requests of a day at one rank, over the mean.
@@ -122,7 +124,7 @@
 @pytest.mark.parametrize("group, busiest", GROUPS)
 def test_entries_that_see_nothing_of_each_other_spread_evenly(group, busiest):
     # Guards against a busiest endpoint that sets the pace of all others.
-    found = model.play(group, model.in_turn)
+    found = model.play(group, model.round_robin)
     before = model.play(group, model.at_random)
     assert found.busiest <= busiest
     assert found.busiest <= before.busiest
@@ -137,8 +139,8 @@
     got = collections.Counter()
     for place in range(8):
         picker = pick.Picker("b")
-        order = spread.arranged_in_group(group, "b", place, 8)
-        assert not spread.lies_evenly(group, "b")
+        order = endpoint_order.preferred_order_in_group(group, "b", place, 8)
+        assert not endpoint_order.is_evenly_distributed(group, "b")
         for _ in range(9):
             found = picker.pick(order, 0, near=False)
             picker.began(found.endpoint_id)
@@ -151,8 +153,8 @@
 def test_an_even_group_is_used_in_the_own_zone_first():
     group = [member(f"a{i}", "a") for i in range(4)]
     group += [member(f"b{i}", "b") for i in range(4)]
-    assert spread.lies_evenly(group, "b")
-    order = spread.arranged_in_group(group, "b", 0, 2)
+    assert endpoint_order.is_evenly_distributed(group, "b")
+    order = endpoint_order.preferred_order_in_group(group, "b", 0, 2)
     assert [m.zone for m in order[:4]] == ["b"] * 4
 
 
@@ -162,10 +164,10 @@
     earlier, again = member("a"), member("a")
     earlier.incarnation, again.incarnation = 1000, 2000
     for _ in range(3):
-        picker.began(pick.life(earlier))
-        picker.failed(pick.life(earlier), 0)
+        picker.began(pick.incarnation_key(earlier))
+        picker.failed(pick.incarnation_key(earlier), 0)
     other = member("b")
-    tried = {pick.life(earlier)}
+    tried = {pick.incarnation_key(earlier)}
     assert chosen(picker, [again, other], exclude=tried) == "a"
-    picker.ended(pick.life(earlier))
-    assert picker.record(pick.life(again)).in_flight == 0
+    picker.ended(pick.incarnation_key(earlier))
+    assert picker.record(pick.incarnation_key(again)).in_flight == 0
--- a/dunlinpoint/routing/tests/test_rate.py
+++ b/dunlinpoint/routing/tests/test_rate.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dunlinpoint.routing import notices, rate
+from dunlinpoint.routing import endpoint_signals, rate
 
 LIFE = "i-1"
 WINDOW_MS = 4000
@@ -14,7 +14,9 @@
 
 def entries_of(count, seed):
     return [
-        notices.Notices(place=i, places=count, rng=random.Random(f"{seed} {i}"))
+        endpoint_signals.Signals(
+            place=i, places=count, rng=random.Random(f"{seed} {i}")
+        )
         for i in range(count)
     ]
 
@@ -24,19 +26,19 @@
     sent = []
     for now in range(0, LENGTH_MS, STEP_MS):
         for entry in entries:
-            if not wanted(now, entry) or entry.free_ms(LIFE, now) > now:
+            if not wanted(now, entry) or entry.available_ms(LIFE, now) > now:
                 continue
             entry.sent(LIFE, now)
             sent.append(now)
             limit = per_s if limit_at(now) else None
-            entry.take(LIFE, notices.Notice(limit), now, now + STEP_MS // 2)
+            entry.apply(LIFE, endpoint_signals.Signal(limit), now, now + STEP_MS // 2)
     return sent
 
 
 def tell(entries, per_s):
     """Every entry has been told once."""
     for entry in entries:
-        entry.take(LIFE, notices.Notice(per_s), 0, 0)
+        entry.apply(LIFE, endpoint_signals.Signal(per_s), 0, 0)
 
 
 def most(sent):
@@ -92,6 +94,6 @@
     (alone,) = entries_of(1, 1)
     tell([alone], 2.0)
     before = alone.said_by_life[LIFE].rate.part.pause_ms
-    alone.learn(0, 4, 10)
+    alone.update(0, 4, 10)
     assert alone.said_by_life[LIFE].rate.part.pause_ms >= 4 * before
     assert rate.Part.of(2.0, LIFE, 0, 1).pause_ms == before
--- a/dunlinpoint/routing/tests/zones.py
+++ b/dunlinpoint/routing/tests/zones.py
@@ -83,7 +83,7 @@
     entry = groups.Groups(passes.ALLOWED_MS)
     sizes = {g: sum(s.values()) for g, s in deployment.sizes_by_group.items()}
     here = {g: s.get(zone, 0) for g, s in deployment.sizes_by_group.items()}
-    entry.learn(sizes, here, SLOTS)
+    entry.update(sizes, here, SLOTS)
     return entry
 
 
@@ -95,7 +95,7 @@
         entry, zone, _, _ = stream
         stream[2] -= 1
         stream[3] |= took > passes.ALLOWED_MS
-        entry.saw(name, took, now)
+        entry.record_gap(name, took, now)
         if stream[2]:
             staying.append(stream)
         else:
--- a/dunlinpoint/standins/engine.py
+++ b/dunlinpoint/standins/engine.py
@@ -207,7 +207,7 @@
     def _kick(self):
         if not self.running:
             self.running = True
-            self.clock.later(0, self._step)
+            self.clock.call_later(0, self._step)
 
     def _batch(self):
         live = [s for s in self.by_id.values() if not s.done]
@@ -245,7 +245,7 @@
         self.load_history.append((self.clock.now(), len(batch), per_rank, per_expert))
         for seq in batch:
             self._wake(seq)
-        self.clock.later(int(max(rank_ms)), self._step)
+        self.clock.call_later(int(max(rank_ms)), self._step)
 
     def _prefill(self, seq):
         seq.prefilled = True
--- a/dunlinpoint/suspects/register.py
+++ b/dunlinpoint/suspects/registry.py
@@ -35,7 +35,7 @@
 NO_REVISION = 0
 
 
-class Standing(enum.Enum):
+class SuspectStatus(enum.Enum):
     """What a request may do: anything, run alone, or nothing."""
 
     CLEAR = "clear"
@@ -50,43 +50,46 @@
     ``void_ms`` is when it was last served or lifted: ends before it do not count.
     """
 
-    ended_ms_by_life: dict = attrs.field(factory=dict)
+    ended_ms_by_incarnation: dict = attrs.field(factory=dict)
     void_ms: int | None = None
     changed_ms: int = 0
     revision: int = 0
 
-    def standing(self):
+    def suspect_status(self):
         """What the request may do by the ends that count."""
-        times = self.ended_ms_by_life.values()
+        times = self.ended_ms_by_incarnation.values()
         if len(times) < SUSPECTED_AT:
-            return Standing.CLEAR
+            return SuspectStatus.CLEAR
         apart = max(times) - min(times) >= ONE_EVENT_MS
         if len(times) >= CONVICTED_AT and apart:
-            return Standing.CONVICTED
-        return Standing.SUSPECTED
+            return SuspectStatus.CONVICTED
+        return SuspectStatus.SUSPECTED
 
     def void(self, at_ms):
         """Nothing up to *at_ms* counts any more; whether that is news."""
         if self.void_ms is not None and at_ms <= self.void_ms:
             return False
         self.void_ms = at_ms
-        for life, ended_ms in list(self.ended_ms_by_life.items()):
+        for life, ended_ms in list(self.ended_ms_by_incarnation.items()):
             if ended_ms <= at_ms:
-                del self.ended_ms_by_life[life]
+                del self.ended_ms_by_incarnation[life]
         return True
 
     def ended(self, life, at_ms):
         """An endpoint ended under the request at *at_ms*; whether that is news."""
-        if life in self.ended_ms_by_life or len(self.ended_ms_by_life) >= MAX_LIVES:
+        if (
+            life in self.ended_ms_by_incarnation
+            or len(self.ended_ms_by_incarnation) >= MAX_LIVES
+        ):
             return False
         if self.void_ms is not None and at_ms <= self.void_ms:
             return False
-        self.ended_ms_by_life[life] = at_ms
+        self.ended_ms_by_incarnation[life] = at_ms
         return True
 
 
 @attrs.define
-class Register:
+class Registry:
     """Suspects by digest, the one changed last at the end."""
 
     suspect_by_digest: collections.OrderedDict = attrs.field(
@@ -101,14 +104,14 @@
     def __len__(self):
         return len(self.suspect_by_digest)
 
-    def standing(self, digest, now):
+    def suspect_status(self, digest, now):
         """What the request of *digest* may do."""
         suspect = self.suspect_by_digest.get(digest)
         if suspect is None or now - suspect.changed_ms > EXPIRY_MS:
-            return Standing.CLEAR
-        return suspect.standing()
+            return SuspectStatus.CLEAR
+        return suspect.suspect_status()
 
-    def take(self, report, now):
+    def apply_report(self, report, now):
         """Take in a ``CrashReport``; whether it was news."""
         at_ms = now - max(0, report.age_ms)
         suspect = self.suspect_by_digest.get(report.digest)
@@ -155,6 +158,6 @@
     found = []
     if suspect.void_ms is not None:
         found.append(ttypes.CrashReport(digest, "", now - suspect.void_ms))
-    for life, ended_ms in suspect.ended_ms_by_life.items():
+    for life, ended_ms in suspect.ended_ms_by_incarnation.items():
         found.append(ttypes.CrashReport(digest, life, now - ended_ms))
     return found
--- a/dunlinpoint/suspects/sharing.py
+++ b/dunlinpoint/suspects/sharing.py
@@ -26,16 +26,16 @@
 
 
 @attrs.frozen
-class Waiting:
+class PendingReport:
     """A report that no control has taken yet, seen at *at_ms*."""
 
     digest: bytes
-    life: str
+    incarnation: str
     at_ms: int
 
     def to_message(self, now):
         """The ``CrashReport`` of it."""
-        return ttypes.CrashReport(self.digest, self.life, now - self.at_ms)
+        return ttypes.CrashReport(self.digest, self.incarnation, now - self.at_ms)
 
 
 @attrs.define
@@ -47,8 +47,8 @@
     waiting: list = attrs.field(factory=list)
     is_telling: bool = False
 
-    def tell(self, reports):
-        """Tell every control in reach of *reports* (``Waiting``)."""
+    def publish(self, reports):
+        """Tell every control in reach of *reports* (``PendingReport``)."""
         self.waiting = (self.waiting + reports)[-MAX_WAITING:]
         if not self.is_telling:
             self.is_telling = True
@@ -61,7 +61,7 @@
             messages = [report.to_message(self.clock.now()) for report in told]
             calls = [
                 follow.link.call("report", messages)
-                for follow in self.view.controls.follow_by_address.values()
+                for follow in self.view.controls.followed_by_address.values()
             ]
             results = yield defer.DeferredList(calls, consumeErrors=True)
             for ok, failure in results:
@@ -70,7 +70,7 @@
             if any(ok for ok, _ in results):
                 self.waiting = [r for r in self.waiting if r not in told]
             else:
-                yield self.clock.pause(RETRY_MS)
+                yield self.clock.sleep(RETRY_MS)
         self.is_telling = False
 
     def _failed(self, failure):
--- a/dunlinpoint/suspects/tests/test_many_entries.py
+++ b/dunlinpoint/suspects/tests/test_many_entries.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from dunlinpoint.suspects import digest, register
+from dunlinpoint.suspects import digest, registry
 from dunlinpoint.wire.gen.dunlin import ttypes
 
 GUILTY = b"g" * digest.DIGEST_BYTES
@@ -26,16 +26,16 @@
 def play(seed, remembers, repeatable=True):
     """How many endpoints one request ends."""
     rng = random.Random(seed)
-    entries = [register.Register() for _ in range(ENTRIES)]
+    entries = [registry.Registry() for _ in range(ENTRIES)]
     told, now, ends = [], 0.0, 0
     while now < LENGTH_MS:
         here = rng.randrange(ENTRIES)
         for at_ms, entry, life in [t for t in told if t[0] <= now]:
-            entries[entry].take(ttypes.CrashReport(GUILTY, life, 0), int(at_ms))
+            entries[entry].apply_report(ttypes.CrashReport(GUILTY, life, 0), int(at_ms))
         told = [t for t in told if t[0] > now]
-        found = entries[here].standing(GUILTY, int(now))
-        runs = 2 if repeatable and found is register.Standing.CLEAR else 1
-        if remembers and found is register.Standing.CONVICTED:
+        found = entries[here].suspect_status(GUILTY, int(now))
+        runs = 2 if repeatable and found is registry.SuspectStatus.CLEAR else 1
+        if remembers and found is registry.SuspectStatus.CONVICTED:
             runs = 0
         for run in range(runs):
             ends += 1
@@ -53,5 +53,5 @@
     # told may end two more, and no seed more than that.
     ends = [play(seed, True, repeatable) for seed in range(100)]
     blind = [play(seed, False, repeatable) for seed in range(100)]
-    assert max(ends) <= register.CONVICTED_AT + 2, ends
+    assert max(ends) <= registry.CONVICTED_AT + 2, ends
     assert statistics.mean(ends) < statistics.mean(blind) / 3
--- a/dunlinpoint/suspects/tests/test_register.py
+++ b/dunlinpoint/suspects/tests/test_registry.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from dunlinpoint.suspects import digest, register
+from dunlinpoint.suspects import digest, registry
 from dunlinpoint.wire.gen.dunlin import ttypes
 
 GUILTY = b"g" * digest.DIGEST_BYTES
-CLEAR = register.Standing.CLEAR
-SUSPECTED = register.Standing.SUSPECTED
-CONVICTED = register.Standing.CONVICTED
+CLEAR = registry.SuspectStatus.CLEAR
+SUSPECTED = registry.SuspectStatus.SUSPECTED
+CONVICTED = registry.SuspectStatus.CONVICTED
 
 
 def ended(life, age_ms=0, name=GUILTY):
@@ -27,62 +27,63 @@
 
 def known(*lives, every_ms=2000):
     """A register under whose guilty request *lives* ended, and the time then."""
-    found, now = register.Register(), 0
+    found, now = registry.Registry(), 0
     for now in range(0, every_ms * len(lives), every_ms):
-        found.take(ended(lives[now // every_ms]), now)
+        found.apply_report(ended(lives[now // every_ms]), now)
     return found, now
 
 
 def test_three_ends_apart_in_time_convict():
     standings = [
-        known(*lives)[0].standing(GUILTY, 10_000) for lives in ("", "a", "ab", "abc")
+        known(*lives)[0].suspect_status(GUILTY, 10_000)
+        for lives in ("", "a", "ab", "abc")
     ]
     assert standings == [CLEAR, CLEAR, SUSPECTED, CONVICTED]
 
 
 def test_one_end_told_by_many_is_one():
     found, now = known("a", "a", "a", "a")
-    assert found.standing(GUILTY, now) is CLEAR
+    assert found.suspect_status(GUILTY, now) is CLEAR
 
 
 def test_a_rack_that_falls_convicts_nobody():
     # Symptom feared: innocent requests refused for minutes after a rack fell. Sequence:
     # a caller sends each request three times at once, and all three endpoints are in
     # the rack. Cause: counting one event three times.
-    found = register.Register()
+    found = registry.Registry()
     for number, life in enumerate("abc"):
-        found.take(ended(life), 50 * number)
-    assert found.standing(GUILTY, 200) is SUSPECTED
-    found.take(ended("d"), 5000)
-    assert found.standing(GUILTY, 5000) is CONVICTED
+        found.apply_report(ended(life), 50 * number)
+    assert found.suspect_status(GUILTY, 200) is SUSPECTED
+    found.apply_report(ended("d"), 5000)
+    assert found.suspect_status(GUILTY, 5000) is CONVICTED
 
 
 def test_a_request_that_was_served_is_cleared():
     # Pattern: a popular lookup is at work at every endpoint that ends.
     found, now = known("a", "b")
-    found.take(served(), now + 1)
-    found.take(ended("c"), now + 2)
-    assert found.standing(GUILTY, now + 2) is CLEAR
+    found.apply_report(served(), now + 1)
+    found.apply_report(ended("c"), now + 2)
+    assert found.suspect_status(GUILTY, now + 2) is CLEAR
 
 
 def test_an_end_from_before_it_was_served_that_is_told_late_does_not_count():
     found, now = known("a", "b")
-    found.take(served(), now)
-    assert not found.take(ended("c", age_ms=500), now + 100)
-    assert found.standing(GUILTY, now + 100) is CLEAR
+    found.apply_report(served(), now)
+    assert not found.apply_report(ended("c", age_ms=500), now + 100)
+    assert found.suspect_status(GUILTY, now + 100) is CLEAR
 
 
 def test_a_conviction_expires():
     found, now = known("a", "b", "c")
-    assert found.standing(GUILTY, now + register.EXPIRY_MS) is CONVICTED
-    assert found.standing(GUILTY, now + register.EXPIRY_MS + 1) is CLEAR
+    assert found.suspect_status(GUILTY, now + registry.EXPIRY_MS) is CONVICTED
+    assert found.suspect_status(GUILTY, now + registry.EXPIRY_MS + 1) is CLEAR
 
 
 def test_a_flood_of_requests_costs_a_bounded_memory(monkeypatch):
-    monkeypatch.setattr(register, "MAX_SUSPECTS", 10)
-    found = register.Register()
+    monkeypatch.setattr(registry, "MAX_SUSPECTS", 10)
+    found = registry.Registry()
     for number in range(100):
-        found.take(ended("a", name=b"%d" % number), number)
+        found.apply_report(ended("a", name=b"%d" % number), number)
     assert list(found.suspect_by_digest) == [
         b"%d" % number for number in range(90, 100)
     ]
@@ -92,20 +93,20 @@
     found, now = known("a", "b")
     revision = found.revision
     assert found.reports(revision, now) == []
-    found.take(ended("c", name=b"other"), now)
+    found.apply_report(ended("c", name=b"other"), now)
     (report,) = found.reports(revision, now)
     assert (report.digest, report.life, report.age_ms) == (b"other", "c", 0)
 
 
-@pytest.mark.parametrize("revision", [register.NO_REVISION, 1, 1 << 62])
+@pytest.mark.parametrize("revision", [registry.NO_REVISION, 1, 1 << 62])
 def test_a_follower_that_knows_another_life_of_the_control_is_told_all(revision):
     # Symptom feared: entries that never hear what a control knows. Sequence: a control
     # starts again, and its followers name a revision of before.
     found, now = known("a", "b")
-    heard = register.Register()
+    heard = registry.Registry()
     for report in found.reports(revision, now):
-        heard.take(report, now)
-    assert heard.standing(GUILTY, now) is SUSPECTED
+        heard.apply_report(report, now)
+    assert heard.suspect_status(GUILTY, now) is SUSPECTED
 
 
 def test_the_same_request_of_another_caller_is_another_one():
--- a/dunlinpoint/suspects/tests/test_sharing.py
+++ b/dunlinpoint/suspects/tests/test_sharing.py
@@ -17,7 +17,7 @@
 
     def call(self, _method, reports):
         if not self.reached:
-            return defer.fail(errors.Lost("h:1"))
+            return defer.fail(errors.OutcomeUnknown("h:1"))
         self.taken += [(report.life, report.age_ms) for report in reports]
         return defer.succeed(None)
 
@@ -29,7 +29,7 @@
 
 @attrs.define
 class Controls:
-    follow_by_address: dict
+    followed_by_address: dict
 
 
 @attrs.define
@@ -44,13 +44,13 @@
 
 
 def report(life, at_ms=0):
-    return sharing.Waiting(b"d", life, at_ms)
+    return sharing.PendingReport(b"d", life, at_ms)
 
 
 def test_every_control_in_reach_is_told():
     near, away, cut = Link(), Link(), Link(reached=False)
     _, found = entry(near, away, cut)
-    found.tell([report("a")])
+    found.publish([report("a")])
     assert near.taken == away.taken == [("a", 0)]
     assert found.waiting == []
 
@@ -60,9 +60,9 @@
     # ends before it reaches one again.
     link = Link(reached=False)
     reactor, found = entry(link)
-    found.tell([report("a")])
+    found.publish([report("a")])
     reactor.advance(0.2)
-    found.tell([report("b", 200)])
+    found.publish([report("b", 200)])
     link.reached = True
     reactor.advance(sharing.RETRY_MS / 1000 - 0.2)
     assert link.taken == [("a", 500), ("b", 300)]
@@ -73,5 +73,5 @@
     monkeypatch.setattr(sharing, "MAX_WAITING", 3)
     _, found = entry(Link(reached=False))
     for life in "abcde":
-        found.tell([report(life)])
-    assert [waiting.life for waiting in found.waiting] == ["c", "d", "e"]
+        found.publish([report(life)])
+    assert [waiting.incarnation for waiting in found.waiting] == ["c", "d", "e"]
--- a/dunlinpoint/tests/test_life.py
+++ b/dunlinpoint/tests/test_lifecycle.py
@@ -1,10 +1,10 @@
 """A process moves only forward through its life."""
 
-from dunlinpoint import life
+from dunlinpoint import lifecycle
 
 
 def test_drain_then_close():
-    process = life.begin()
+    process = lifecycle.begin()
     assert not process.is_draining() and not process.is_stopping()
     process.drain()
     assert process.is_draining() and not process.is_stopping()
@@ -16,7 +16,7 @@
     # Symptom: an instance that is being stopped takes work again. Sequence:
     # SIGTERM, the window closes, SIGTERM once more. Cause: a flag set by
     # each signal handler for itself.
-    process = life.begin()
+    process = lifecycle.begin()
     process.drain()
     process.close()
     process.drain()
--- a/dunlinpoint/tests/test_logs.py
+++ b/dunlinpoint/tests/test_logs.py
@@ -80,7 +80,7 @@
 def test_counters_and_histograms_are_served_as_text():
     counters = metrics.Counters(None)
     counters.refused("no_room")
-    counters.timed("first_event", 130)
+    counters.observe_ms("first_event", 130)
     text = counters.render().decode()
     assert 'dunlinpoint_events_total{name="refused.no_room"} 1.0' in text
     assert 'dunlinpoint_first_event_ms_bucket{le="200.0"} 1.0' in text
--- a/dunlinpoint/wire/errors.py
+++ b/dunlinpoint/wire/errors.py
@@ -9,12 +9,12 @@
     """The call never left: no connection could be made. The peer did nothing."""
 
 
-class Lost(WireError):
+class OutcomeUnknown(WireError):
     """The call was sent but no answer came (connection lost or timeout).
 
     The peer may or may not have acted on it.
     """
 
 
-class PeerFailed(Lost):
+class PeerFailed(OutcomeUnknown):
     """The peer answered that it failed within; it may have acted or not."""
--- a/dunlinpoint/wire/rpc.py
+++ b/dunlinpoint/wire/rpc.py
@@ -28,7 +28,7 @@
 
     Calls that find no connection fail with ``NotSent``; calls whose
     connection drops or whose answer takes longer than *timeout_ms* fail with
-    ``Lost``; the connection is dropped if nothing else was answered on it
+    ``OutcomeUnknown``; the connection is dropped if nothing else was answered on it
     meanwhile. A late answer after a timeout is dropped by the client: the
     request stays registered until then, so the thrift client never meets a
     reply it does not know, which would otherwise close the connection for
@@ -83,7 +83,9 @@
             self._time_out,
             outer,
             self._answers,
-            errors.Lost(f"{self.address}: {method} timed out after {timeout_ms} ms"),
+            errors.OutcomeUnknown(
+                f"{self.address}: {method} timed out after {timeout_ms} ms"
+            ),
         )
 
         def send(client):
@@ -110,7 +112,9 @@
             elif failure.check(
                 TTwisted.TTransport.TTransportException, error.ConnectionDone
             ):
-                outer.errback(errors.Lost(f"{self.address}: {method}: connection lost"))
+                outer.errback(
+                    errors.OutcomeUnknown(f"{self.address}: {method}: connection lost")
+                )
             elif failure.check(Thrift.TApplicationException):
                 # Left as the library's own error it passed every handler of
                 # wire errors: an agent's heartbeat loop ended at the first
--- a/dunlinpoint/wire/tests/test_rpc.py
+++ b/dunlinpoint/wire/tests/test_rpc.py
@@ -74,4 +74,4 @@
     link.call("load").addBoth(heard.append)
     reactor.run_due()
     reactor.run_due()
-    assert heard[0].check(errors.Lost)
+    assert heard[0].check(errors.OutcomeUnknown)
