--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -13,13 +13,18 @@
 
 UNUSED_BY_ROLE = {
     "entry": ["OpenSSL", "treq", "dunlinpoint.control.server", "dunlinpoint.standins"],
-    "control": ["OpenSSL", "treq", "dunlinpoint.experts.lead", "dunlinpoint.standins"],
+    "control": [
+        "OpenSSL",
+        "treq",
+        "dunlinpoint.experts.leader",
+        "dunlinpoint.standins",
+    ],
     "agent": ["OpenSSL", "dunlinpoint.control.server", "dunlinpoint.forward.site"],
 }
 PROGRAM = """
 import sys
-from dunlinpoint import early
-early.prepare()
+from dunlinpoint import startup
+startup.prepare()
 from dunlinpoint.platform import commands, {role}
 loaded = [name for name in {unused!r} if sys.modules.get(name) is not None]
 sys.exit(" ".join(loaded) or 0)
