--- a/dunlinpoint/routing/__init__.py
+++ b/dunlinpoint/routing/__init__.py
@@ -1,17 +1,20 @@
-"""Where work goes, who waits and who is refused: decisions over plain state.
+"""Routing, queueing and admission decisions over plain state.
 
-Nothing here knows of connections or of the loop; our own interface and the
-forwarded one both ask it.
+The modules use neither connections nor the event loop. Both the entry's own
+interface and the forwarded one use them.
 
-==============  ==========================================================
-module          holds
-==============  ==========================================================
-``pick``        which endpoint gets the next try, and which are avoided
-``spread``      the order in which each entry prefers endpoints
-``owners``      which agents keep an idempotency key, and prefix affinity
-``outage``      groups of ranks that stand, and when to come back
-``groups``      how a service's streams are divided over its groups of ranks
-``controller``        how many streams are let in, from the pauses that are seen
-``budget``      how many tries beyond the first a service may get
-==============  ==========================================================
+=====================  ==============================================================
+module                 holds
+=====================  ==============================================================
+``pick``               selection of the endpoint for the next attempt
+``endpoint_order``     the order in which each entry prefers endpoints
+``owners``             owners of idempotency keys, and prefix affinity
+``outage``             stalled groups of ranks, and Retry-After during an outage
+``groups``             distribution of a service's streams over its groups of ranks
+``admission_control``  admission of streams by the observed inter-event gaps
+``latency``            callers past their latency target, and their queue
+``endpoint_signals``   rate limits, backoff and draining signalled by endpoints
+``rate``               an entry's share of an endpoint's rate limit
+``budget``             retry budget of each service
+=====================  ==============================================================
 """
--- a/dunlinpoint/routing/admission_control.py
+++ b/dunlinpoint/routing/admission_control.py
@@ -1,21 +1,22 @@
-"""Who is let in to a group of ranks: by the length of the passes just seen.
-
-All streams of a group get their next event in the same pass, and the more there are,
-the longer a pass takes. Past some number every stream is late at once. No entry sees
-how many streams there are, but each sees the pauses between its own events, which are
-the same for all. So the longer they are, the fewer of the requests that come are let
-in. It needs no message, and is the same for entries that see two streams and twenty.
-
-Passes get long in two ways, which are told apart by how long it lasts:
-
-- Demand for experts jumps every few seconds, and a map answers it within half a
-  second. Requests wait that long (:meth:`AdmissionController.has_room`).
-- Longer passes make streams last longer, so there are more of them, so passes are
-  longer still, until all slots are taken and streams queue at engines. What began it,
-  a lost lead or a slow rank, may be gone for ten seconds; the same load that fitted
-  before no longer does, and nearly every stream is late. Waiting for a few passes
-  changes nothing then. Only fewer streams lead out of it, so a part of the requests is
-  refused at once while passes are long as a mean over more than a second
+"""Admission to a group of ranks by the recent inter-event gaps.
+
+All streams of a group get their next event in the same step, and the more streams there
+are, the longer a step takes. Above some number, all streams are past their latency
+target at once. No entry sees how many streams there are, but each sees the gaps between
+its own events, which are the same for all entries. So the longer the gaps, the smaller
+the share of requests that is admitted. This needs no message, and works alike for
+entries with two streams and with twenty.
+
+Steps get long in two ways, which are distinguished by their duration:
+
+- Demand for experts jumps every few seconds, and a new expert map follows it within
+  half a second. Requests wait that long (:meth:`AdmissionController.has_room`).
+- Longer steps make streams last longer, so there are more of them, and steps get longer
+  still, until all slots are taken and streams queue at engines. The cause, a lost
+  leader or a slow rank, may have ended ten seconds before; the group can no longer
+  serve the load that it served before, and nearly every stream is past its target.
+  Waiting for a few steps does not help then, only fewer streams do. So a share of the
+  requests is refused at once while the mean over more than a second is long
   (:meth:`AdmissionController.long_window_admitted_share`).
 """
 
@@ -25,69 +26,74 @@
 
 import attrs
 
-# Pauses that count are at most so much older than the newest: a pass or two.
+# Gaps older than this, relative to the newest, do not count: a step or two.
 RECENT_MS = 150
-# After so long without an event nothing is known of passes.
+# After this time without an event, the length of steps is unknown.
 STALE_MS = 1000
-# Parts of the longest allowed pause: up to the first all are let in, from the second
-# on none.
+# Fractions of the longest allowed gap: full admission up to the first, no admission
+# from the second on.
 ALL_IN = 0.7
 NONE_IN = 0.9
-# The same for the mean of passes over LASTING_MS, which is some times as long as a jump
-# of demand lasts: one alone has nobody refused.
+# The long window of the mean gap. It is several times as long as a jump of demand, so
+# that a single jump causes no refusals.
 LASTING_MS = 3500
-# It is over as soon as passes are short as a mean over this: what keeps them long may
-# be gone at once, as a map that comes late is.
+# The short window. Refusals stop as soon as the mean over it is short: the cause of
+# long steps may end at once, as when a delayed expert map arrives.
 SHORT_MS = 400
+# Full and no admission, as ALL_IN and NONE_IN, for the mean over the windows.
 LASTING_ALL_IN = 0.55
 LASTING_NONE_IN = 0.85
-# Where no pause was too long for so long, all streams are in time as it is, and nobody
-# is refused.
+# Without a gap over the allowed one for this long, all streams are within their target,
+# and none is refused.
 LATE_MS = 8000
-# While long passes last, callers that came back are let in so much less often. They
-# are late whatever happens, and in the slot that one takes another would be in time.
+# Factor of the admitted share for callers that retry, while the mean is long. They are
+# past their latency target anyway, and would take a slot in which another caller could
+# be served within its target.
 LASTING_RETURNED = 0.3
-# For callers that came back after a refusal passes count as so much shorter: refused
-# again, most have no try left. Larger figures keep out more of those who could still
-# be in time.
+# Factor of the gaps as counted for callers that retry after a refusal: refused again,
+# most have no attempt left. A stronger preference keeps out more of the callers that
+# could still be served within their target.
 RETURNED_SHARE = 1 / 1.1
-# An entry always lets in so many: with none, nothing shows when a group is fast again.
+# An entry always admits this many streams: without any, it would not notice that the
+# group is fast again.
 LEAST_STREAMS = 2
-# A caller with less than this part of the longest time left has been here.
+# A caller with less than this fraction of its timeout left is taken for a retry.
 FRESH_SHARE = 0.9
-# Pauses beyond this many times the allowed one are no pace: the group stood.
+# Gaps over this many times the allowed one do not count: the group was stalled.
 STOOD = 4
 
 
 def is_caller_retry(left_ms, timeout_ms):
-    """Whether a caller with *left_ms* of a route's *timeout_ms* came back."""
+    """Whether a caller with *left_ms* left of a route's *timeout_ms* is a retry."""
     return left_ms < FRESH_SHARE * timeout_ms
 
 
 def share_between(part, all_in, none_in):
-    """1 up to *all_in*, 0 from *none_in* on, and evenly less between them."""
+    """1 up to *all_in*, 0 from *none_in* on, and linear between them."""
     return min(1.0, max(0.0, (none_in - part) / (none_in - all_in)))
 
 
 @attrs.define
 class Mean:
-    """A mean that forgets, over about ``over_ms``."""
+    """An exponential moving average with the time constant ``over_ms``."""
 
     over_ms: int
     value: float = 0.0
 
     def add(self, value, elapsed_ms):
-        """Take in *value*, *elapsed_ms* after the one before it."""
+        """Add *value*, *elapsed_ms* after the previous one."""
         weight = 1 - math.exp(-elapsed_ms / self.over_ms)
         self.value += weight * (value - self.value)
 
 
 @attrs.define
 class AdmissionController:
-    """Streams of one service and group at this entry, and the passes they see.
+    """Admission of streams to one group of a service at this entry.
 
-    ``long_window`` and ``short`` are means of pauses (ms), and ``late_ms`` is when the
-    last pause over the allowed one was seen.
+    ``max_gap_ms`` is the longest allowed inter-event gap. ``recent`` holds recent gaps
+    as ``(now, gap_ms)``, ``long_window`` and ``short_window`` are mean gaps (ms),
+    ``last_event_ms`` is the time of the last event and ``last_long_gap_ms`` that of the
+    last gap over the allowed.
     """
 
     allowed_ms: int
@@ -99,7 +105,7 @@
     late_ms: int | None = None
 
     def record_gap(self, pause_ms, now):
-        """A stream's next event came *pause_ms* after the one before it."""
+        """Record an event of a stream, *pause_ms* after the one before it."""
         if pause_ms > STOOD * self.allowed_ms:
             return
         while self.recent and now - self.recent[0][0] > RECENT_MS:
@@ -108,8 +114,8 @@
         if pause_ms > self.allowed_ms:
             self.late_ms = now
         if not self._is_known(now):
-            # A group that opens has its longest passes before its first map. Taken for
-            # the mean, they would refuse everyone who comes back to it.
+            # A group that opens has its longest steps before its first expert map. As
+            # the mean, these would have all returning callers refused.
             self.long_window.value = self.short.value = LASTING_ALL_IN * self.allowed_ms
         else:
             self.long_window.add(pause_ms, now - self.seen_ms)
@@ -121,13 +127,13 @@
 
     @property
     def median_gap_ms(self):
-        """The median of the last pauses, ``None`` before there is any."""
+        """The median of the recent gaps (ms), or ``None`` before the first."""
         if not self.recent:
             return None
         return statistics.median(pause for _, pause in self.recent)
 
     def admitted_share(self, now, returned=False):
-        """The part (0 to 1) of requests, or of *returned* callers', to be let in."""
+        """The admitted share (0 to 1) of first attempts, or of *returned* callers."""
         if self.in_flight < LEAST_STREAMS or not self._is_known(now):
             return 1.0
         part = self.median_gap_ms / self.allowed_ms
@@ -136,7 +142,10 @@
         return share_between(part, ALL_IN, NONE_IN)
 
     def long_window_admitted_share(self, now, returned=False):
-        """The part of requests not to be refused at once: 1 unless long passes last."""
+        """The share (0 to 1) not to be refused at once, by the mean over the windows.
+
+        It is 1 unless the means over both windows are long.
+        """
         if self.in_flight < LEAST_STREAMS or not self._is_known(now):
             return 1.0
         if self.late_ms is None or now - self.late_ms > LATE_MS:
@@ -146,13 +155,13 @@
         return share * LASTING_RETURNED if returned and share < 1 else share
 
     def has_room(self, now, rng, returned=False):
-        """Whether one more stream may begin, of a caller that has *returned*."""
+        """Whether to admit one more stream, drawn at random by the admitted share."""
         return rng.random() < self.admitted_share(now, returned)
 
     def began(self):
-        """One more stream is in flight."""
+        """Count one more stream in flight."""
         self.in_flight += 1
 
     def ended(self):
-        """A stream is over."""
+        """Count one stream in flight less."""
         self.in_flight -= 1
--- a/dunlinpoint/routing/endpoint_order.py
+++ b/dunlinpoint/routing/endpoint_order.py
@@ -1,23 +1,22 @@
 """The order in which each entry prefers endpoints of equal load.
 
-An entry knows exactly what it has in flight itself, and of the other entries
-nothing that is not late. Where all of them broke ties at random, some
-endpoint got the odd request of several at once: with 6 entries in front of 12
-ranks the busiest had 1.43 times the mean in flight, and as ranks advance in
-lock-step, it alone set the pace of all streams. Loads shared between entries
-made it worse at any lag that is affordable (1.63 at 250 ms: everyone runs to
-the same idle endpoint).
-
-Here every entry begins its order at another endpoint, a fixed part of the way
-round. No message is needed but the entry's place among the entries, which
-controls know, since every entry asks them for changes.
+An entry knows exactly what it has in flight itself, and the load from other entries
+only with a delay. With ties broken at random, several entries sent their odd request
+to the same endpoint: with 6 entries in front of 12 ranks, the busiest rank had 1.43
+times the mean in flight, and as ranks run in lock-step, it determined the speed of
+all streams. Sharing the loads between entries made it worse at any affordable lag
+(1.63 times at 250 ms, as all entries choose the same idle endpoint).
+
+Here the endpoints form a ring, and each entry begins its order at a different one,
+evenly spaced by its index among the entries. The only message needed is this index,
+which controls know, since every entry polls them for changes.
 """
 
 import collections
 
 
 def rotated(members, place, places):
-    """*members* from the one on that is *place* of *places* of the way round."""
+    """*members* rotated by the fraction *place* / *places* of their number."""
     if not members or places < 1:
         return list(members)
     start = place * len(members) // places % len(members)
@@ -25,10 +24,10 @@
 
 
 def preferred_order(members, zone, place, places):
-    """*members* (in the same order everywhere) as one entry prefers them.
+    """*members* (in the same order at all entries) as one entry prefers them.
 
-    The entry is number *place* of the *places* entries in *zone*. Each zone's
-    endpoints are gone round for themselves: in one round over all of them,
+    *place* is the entry's index among the *places* entries in *zone*. The own zone
+    comes first. Each zone's endpoints are rotated separately: rotated all together,
     the entries of a zone began at endpoints close to each other.
     """
     by_zone = {}
@@ -39,7 +38,7 @@
 
 
 def is_evenly_distributed(members, zone):
-    """Whether *members* lie evenly over some zones, *zone* among them."""
+    """Whether *members* are distributed evenly over some zones, including *zone*."""
     sizes = collections.Counter(member.zone for member in members)
     return zone in sizes and len(set(sizes.values())) == 1
 
@@ -47,10 +46,11 @@
 def preferred_order_in_group(members, zone, place, places):
     """*members* of one group of ranks as an entry prefers them.
 
-    Where the group lies evenly over its zones, as :func:`preferred_order`. Where it
-    does not, each zone's entries begin all round it: the six ranks that a zone had of a
-    group of 24 got all that its entries sent to the group and rejected a part of
-    it, and the most loaded of them sets the pace of all.
+    If the group is distributed evenly over its zones, this is the order of
+    :func:`preferred_order`. If not, the entries of all zones begin at endpoints all
+    around the group: preferring the own zone, the entries of a zone with six ranks of
+    a group of 24 sent all their requests to these six, which rejected some of them,
+    and the most loaded rank determines the speed of all.
     """
     if is_evenly_distributed(members, zone):
         return preferred_order(members, zone, place, places)
--- a/dunlinpoint/routing/endpoint_signals.py
+++ b/dunlinpoint/routing/endpoint_signals.py
@@ -1,9 +1,10 @@
-"""What endpoints say of themselves in their answers, and what follows from it.
+"""Signals in the answers of endpoints: rate limit, backoff and draining.
 
-A member list says what an endpoint told a control a heartbeat ago; its answers say how
-it is now, to whoever asked. Both are kept by an endpoint's life, and heeded without
-exception: an endpoint that failed may be tried again when there is no other, one that
-has said what it takes may not.
+The member list holds what an endpoint reported to a control at its last heartbeat; the
+signals in its answers are current, but reach only the entry that sent the request.
+Signals are kept by the endpoint's incarnation and always obeyed: an endpoint that has
+failed may be tried when there is no other, one that has signalled a limit, a backoff or
+draining may not.
 """
 
 from __future__ import annotations
@@ -18,21 +19,22 @@
 
 log = logs.logger("entry")
 
-# How long what an endpoint said is remembered after it was last heard, if it is no
-# member meanwhile: a cut may take it from the list and bring it back.
+# How long signals are kept after the last response of an endpoint that is no longer a
+# member: a network partition may remove it from the list and bring it back.
 MEMORY_MS = 120_000
 
 
 @attrs.frozen
 class Signal:
-    """What one answer of an endpoint says of it.
-
-    - ``limit_per_s``: requests a second that it takes from all entries together, as
-      long as it says so; ``None`` without a limit.
-    - ``backoff_ms``: for how long it wants nothing from this entry; ``None`` if it does
-      not say so.
-    - ``is_draining``: whether it takes nothing new any more.
-    - ``is_complete``: whether all could be read; if not, what is absent says nothing.
+    """The signals in one answer of an endpoint.
+
+    - ``limit_per_s``: the rate limit, in requests a second from all entries together,
+      which holds as long as answers bear it; ``None`` without a limit.
+    - ``backoff_ms``: for how long this entry should send it no request; ``None``
+      without a backoff.
+    - ``is_draining``: whether it accepts no new requests.
+    - ``is_complete``: whether all signals could be parsed; if not, the absence of a
+      signal has no meaning.
     """
 
     limit_per_s: float | None = None
@@ -45,13 +47,13 @@
 
 
 def no_signal(_status, _headers):
-    """Reads no notice: for endpoints whose answers bear none."""
+    """Return ``NO_SIGNAL``: the reader for endpoints whose answers bear no signals."""
     return NO_SIGNAL
 
 
 @attrs.define
 class Said:
-    """What one life of an endpoint has said, and when it was last heard."""
+    """The signals in force of one incarnation, and the time of its last response."""
 
     heard_ms: int = 0
     rate: rate.Rate | None = None
@@ -59,7 +61,7 @@
     is_draining: bool = False
 
     def available_ms(self, now):
-        """From when (ms) on it takes this entry's next request; never: infinite."""
+        """When (ms) this entry may send its next request; infinite if never."""
         if self.is_draining:
             return math.inf
         available_ms = now if self.rate is None else self.rate.available_ms(now)
@@ -68,9 +70,9 @@
 
 @attrs.define
 class Signals:
-    """What was said, by an endpoint's life, of those that have said something.
+    """The signals in force, by the incarnation of those endpoints that sent any.
 
-    This entry is number *place* (0 up) of *places*.
+    ``place`` is the index (from 0) of this entry among the ``places`` entries.
     """
 
     place: int = 0
@@ -79,7 +81,7 @@
     said_by_life: dict = attrs.field(factory=dict)
 
     def update(self, place, places, now):
-        """Take in which of how many entries this one is."""
+        """Set the index of this entry and the number of entries."""
         if (place, places) == (self.place, self.places) or places < 1:
             return
         self.place, self.places = place, places
@@ -88,7 +90,7 @@
                 said.rate.change(self._part(said.rate.per_s, life), now)
 
     def apply(self, life, notice, sent_ms, now):
-        """Take in the *notice* of an answer to a request sent at *sent_ms*."""
+        """Apply the *notice* of an answer to a request sent at *sent_ms*."""
         said = self.said_by_life.get(life)
         if said is None:
             if notice == NO_SIGNAL:
@@ -109,8 +111,8 @@
     def _take_limit(self, life, said, notice, sent_ms, now):
         known, per_s = said.rate, notice.limit_per_s
         if per_s is None:
-            # Answers overtake each other: one that was asked for before the limit was
-            # named says nothing of its end.
+            # Answers overtake each other: one to a request sent before the limit was
+            # signalled does not end the limit.
             if known is None or sent_ms <= known.named_ms or not notice.is_complete:
                 return
             said.rate = None
@@ -135,18 +137,18 @@
         return rate.Part.of(per_s, life, self.place, self.places)
 
     def available_ms(self, life, now):
-        """From when (ms) on the endpoint takes the next request; never: infinite."""
+        """When (ms) the endpoint may get the next request; infinite if never."""
         said = self.said_by_life.get(life)
         return now if said is None else said.available_ms(now)
 
     def sent(self, life, now):
-        """A request is sent to the endpoint."""
+        """Record that a request is sent to the endpoint."""
         said = self.said_by_life.get(life)
         if said is not None and said.rate is not None:
             said.rate.sent(now)
 
     def forget(self, live, now):
-        """Drop what was said by lives that are not among *live* and long silent."""
+        """Drop signals of incarnations not among *live* after ``MEMORY_MS``."""
         for life, said in list(self.said_by_life.items()):
             known_until_ms = max(said.heard_ms + MEMORY_MS, said.rests_until_ms)
             if life not in live and now > known_until_ms:
--- a/dunlinpoint/routing/groups.py
+++ b/dunlinpoint/routing/groups.py
@@ -1,48 +1,49 @@
-"""How an entry divides a service's streams over groups of ranks.
-
-All streams of a group share its passes, so what a stream meets depends on its
-group, not on its endpoint. An entry has one request or none at each of dozens of
-endpoints, which says nothing of how full their group is: with its own zone's
-endpoints first, callers of a crowded zone shared one slow group (0.47 of their
-requests' worth was served) while another zone's stood half empty (0.90). The
-pauses between events say it, and need no message.
-
-An entry keeps a share for each group. A share grows where pauses are shorter than
-the mean and shrinks where they are longer. Steps are small: all entries see the
-same pauses, and if each sent everything to the quicker group, they would crowd
-from one into the other. While all are quick, shares go back to the own zone's
-groups, which saves bytes between zones.
+"""Distribution of a service's streams over its groups of ranks.
+
+All streams of a group are served by the same decode steps, so the latency of a
+stream depends on its group, not on its endpoint. An entry has at most one request
+at each of dozens of endpoints, which does not show the load of their group. When
+entries preferred endpoints of their own zone, callers of an overloaded zone shared
+one slow group (their requests were served at 0.47 of their value) while another zone's
+group was half empty (0.90). The inter-event gaps show the load of a group without
+any message.
+
+An entry keeps a share for each group. A share grows while the group's gaps are
+shorter than the mean, and shrinks while they are longer. The adjustments are small:
+all entries see the same gaps, and if each sent everything to the faster group, the
+load would oscillate between the groups. While all groups are fast, the shares return
+to the groups of the entry's own zone, which saves traffic between zones.
 """
 
 import attrs
 
 from dunlinpoint.routing import admission_control, latency
 
-# How often shares change, and by which power of the ratio of pauses: a group
-# with passes twice as long loses a sixth of its share a turn, and half of it in
-# the second or so that a stream lasts.
+# Interval of the adjustments, and the power of the ratio of gaps by which a share
+# changes. A group with steps twice as long loses a sixth of its share in each
+# adjustment, and half of it in the second or so that a stream lasts.
 TURN_MS = 250
 GAIN = 0.25
-# How much the newest pause weighs in a group's mean. One pass gives an entry an
+# Weight of the newest gap in a group's moving average. One step gives an entry an
 # event of each of a few streams.
 NEWEST = 0.1
-# A group of which nothing was seen for so long has no known pause.
+# After this time without an event, the gap of a group is unknown.
 UNSEEN_MS = 2000
-# Every group keeps so much of the streams: without any, nothing shows when it
-# gets quick.
+# Minimum share of a group: without any streams, an entry would not notice that the
+# group has become fast again.
 LEAST_SHARE = 0.04
-# How much of the first division follows the entry's own zone; the rest goes by the
+# Part of the initial shares that follows the entry's own zone. The rest follows the
 # groups' sizes.
 HOME_PART = 0.5
-# While all pauses are below this part of the longest allowed, shares go back to
-# the own zone's groups by this part a turn.
+# While all gaps are below the fraction CALM of the longest allowed gap, each
+# adjustment moves the shares by the fraction BACK towards the own zone's groups.
 CALM = 0.55
 BACK = 0.02
 
 
 @attrs.define
 class Seen:
-    """The mean of the pauses seen of a group, and when the last one was."""
+    """Moving average of a group's inter-event gaps, and the time of the last one."""
 
     pause_ms: float
     at_ms: int
@@ -50,9 +51,10 @@
 
 @attrs.define
 class Groups:
-    """Shares, pauses and paces by group of one service's ranks.
+    """Shares, inter-event gaps and admission of one service's groups of ranks.
 
-    ``slots`` is the part of all groups' slots that falls to this entry.
+    ``allowed_ms`` is the longest allowed inter-event gap, and ``slots`` this entry's
+    portion of the slots of all groups.
     """
 
     allowed_ms: int
@@ -65,7 +67,7 @@
     turn_ms: int = 0
 
     def controller(self, group):
-        """The ``AdmissionController`` of *group*."""
+        """The ``AdmissionController`` of *group*, created on first use."""
         found = self.pace_by_group.get(group)
         if found is None:
             found = self.pace_by_group[group] = admission_control.AdmissionController(
@@ -74,9 +76,9 @@
         return found
 
     def update(self, sizes, sizes_here, slots):
-        """Take in how many endpoints each group has, and how many in this zone.
+        """Set the number of endpoints by group: in all zones, and in this zone.
 
-        *slots* is this entry's part of what all of them run at once.
+        *slots* is this entry's portion of the slots of all of them.
         """
         self.slots = slots
         if set(sizes) == set(self.share_by_group):
@@ -99,7 +101,7 @@
         self._normalise()
 
     def not_overloaded(self, usable, now, returned, draw):
-        """Those of *usable* that a caller with *draw* (0 to 1) is not kept out of."""
+        """The groups of *usable* that do not shed a caller with *draw* (0 to 1)."""
         return [
             group
             for group in usable
@@ -107,7 +109,10 @@
         ]
 
     def free_slots(self, usable):
-        """How many streams of late callers may begin now, by group of *usable*."""
+        """Slots open to callers past their latency target, by group of *usable*.
+
+        Groups without such a slot are left out.
+        """
         spare = {
             group: int(
                 latency.SLOTS_SHARE * self.slots * self.share_by_group.get(group, 0)
@@ -118,7 +123,7 @@
         return {group: count for group, count in spare.items() if count > 0}
 
     def choose(self, usable, now, returned, rng):
-        """A group of *usable* that has room, drawn by share, or ``None``."""
+        """A group of *usable* that admits the stream, drawn by share, or ``None``."""
         open_to = [g for g in usable if self.controller(g).has_room(now, rng, returned)]
         if len(open_to) < 2:
             return open_to[0] if open_to else None
@@ -126,17 +131,17 @@
         return rng.choices(open_to, weights)[0]
 
     def stream_ended(self, group):
-        """A stream of *group* is over.
+        """Record that a stream of *group* has ended.
 
-        The group may have been forgotten meanwhile: counted in a new
-        ``AdmissionController``, its streams would leave that with fewer than none in
-        flight, and let in too many when the group is back.
+        The group may have been removed in the meantime. Counted in a new
+        ``AdmissionController``, its streams would make the number in flight negative,
+        and too many streams would be admitted once the group is back.
         """
         if group in self.pace_by_group:
             self.pace_by_group[group].ended()
 
     def record_gap(self, group, pause_ms, now):
-        """A stream of *group* had its next event after *pause_ms*."""
+        """Record an event of a stream of *group*, *pause_ms* after the one before."""
         self.controller(group).record_gap(pause_ms, now)
         if pause_ms <= admission_control.STOOD * self.allowed_ms:
             seen = self.seen_by_group.get(group)
--- a/dunlinpoint/routing/latency.py
+++ b/dunlinpoint/routing/latency.py
@@ -1,11 +1,12 @@
-"""Callers that are late already, and which of them gets the next slot.
-
-After an outage everyone who waited for the group is late. Sent on all at once they
-take every slot, and whoever asks next waits behind them and is late as well, for as
-long as it takes to work off all of them. So for a while a late caller begins only if
-this entry has fewer streams in flight than its part of the slots; who asks for the
-first time is not kept waiting by it. Of those who wait here, who has no other try is
-next, and of these the one that would leave first.
+"""Callers past their latency target, and the order in which they get slots.
+
+After an outage, every caller that waited for the group is past its latency target.
+Forwarded all at once, these callers would take every slot, and each later caller
+would queue behind them and miss its target too, until the whole backlog is drained.
+So for a while after an outage, such a caller is admitted only if this entry has
+fewer streams in flight than its portion of the slots. Callers within their target
+are not delayed by this. In the queue, callers without another attempt go first, and
+among them the one that would give up first.
 """
 
 import bisect
@@ -14,20 +15,23 @@
 
 from dunlinpoint.routing import pick
 
-# The part of this entry's slots up to which late callers may begin.
+# The fraction of this entry's slots that callers past their target may fill.
 SLOTS_SHARE = 1.1
 
 
 def is_past_latency_target(left_ms, timeout_ms, aim_ms):
-    """Whether a caller with *left_ms* of a route's *timeout_ms* is past its aim.
+    """Whether a caller with *left_ms* of a route's *timeout_ms* is past *aim_ms*.
 
-    A route without an aim (0) has no late callers.
+    A route without a latency target (0) has no such callers.
     """
     return aim_ms > 0 and timeout_ms - left_ms > aim_ms
 
 
 def entry_slots(members, zone, places):
-    """The part of *members*' slots that falls to one of *places* entries of *zone*."""
+    """The portion of *members*' slots for each of the *places* entries of *zone*.
+
+    A zone without endpoints gets its portion of the slots of all zones.
+    """
     near = [m for m in members if m.zone == zone]
     zones = 1 if near else len({m.zone for m in members})
     slots = sum(m.slots or pick.DEFAULT_SLOTS for m in near or members)
@@ -36,24 +40,24 @@
 
 @attrs.define
 class Queue:
-    """Late callers that wait for a slot, by their turn.
+    """Queue of callers past their latency target, ordered by *turn*.
 
-    A turn is whether the caller could come back once more, when (ms) it would leave,
-    and a number that no other has.
+    A turn is a tuple: whether the caller has another attempt, when (ms) it would give
+    up, and a unique number.
     """
 
     turns: list = attrs.field(factory=list)
 
     def enter(self, turn):
-        """A caller waits for its *turn*."""
+        """Add the caller with *turn*."""
         bisect.insort(self.turns, turn)
 
     def leave(self, turn):
-        """The caller does not wait any more."""
+        """Remove the caller with *turn*, if it is queued."""
         place = self.ahead_of(turn)
         if self.turns[place : place + 1] == [turn]:
             del self.turns[place]
 
     def ahead_of(self, turn):
-        """How many of those who wait are to go before the caller with *turn*."""
+        """The number of queued callers ahead of the one with *turn*."""
         return bisect.bisect_left(self.turns, turn)
--- a/dunlinpoint/routing/outage.py
+++ b/dunlinpoint/routing/outage.py
@@ -1,63 +1,68 @@
-"""Groups of ranks that stand: who is not sent anything, and until when.
-
-Ranks advance together. When one is lost, every request at any rank of its
-group waits about 1.5 s and is then refused or broken off. Sent on to another
-rank, it waits there again, and its caller has gone before the second refusal;
-counted against each endpoint, those failures made entries avoid most ranks
-for seconds after the group was whole again.
-
-So a group is one thing here. It stands while its agents say so (*broken*), or
-after one of its endpoints named another as the cause of a refusal
-(*suspected*), until something comes from it again. Nothing is sent to it meanwhile, but
-for a probe of a suspected group now and then: callers of streams wait at their entry as
-long as they stay, and are told when to come back. With two tries, a caller is heard for
-most of its time.
+"""Stalled groups of ranks: which get no requests, and until when.
+
+Ranks run in lock-step. When one is lost, every request at any rank of its group
+waits about 1.5 s and is then refused or broken off. Forwarded to another rank, it
+waits there again, and its caller has given up before the second refusal. Counted
+against each endpoint, those failures made entries avoid most ranks for seconds
+after the group had recovered.
+
+So the group is treated as a whole. It is stalled while its agents report it
+(*broken*), or after one of its endpoints named another as the cause of a refusal
+(*suspected*), until data comes from it again. In the meantime it gets no requests,
+except periodic probes of a suspected group: callers of streams wait at their entry
+until their timeout, and are refused with Retry-After. With two attempts, a caller
+waits at an entry for most of its time.
 """
 
 import attrs
 
-# A probe finds out within one stall; more of them would only wait as well.
+# Interval of the probes of a suspected group. One probe shows within one stall whether
+# the group has recovered; more of them would only wait as well.
 PROBE_MS = 500
-# A group that broke does not open for so long, as a rule: its ranks wait for
-# the lost one for 1.5 s, it takes a second or more to come back, and they form
-# anew for 0.6 s.
+# The usual minimum time until a broken group opens: its ranks wait for the lost one
+# for 1.5 s, that one takes a second or more to restart, and forming the group again
+# takes 0.6 s.
 LEAST_OUTAGE_MS = 2500
-# For so long after a group opened callers are about who waited for it: as long as a
-# caller of streams has.
+# How long after a group has opened there may be callers that waited for it: the
+# timeout of callers of streams.
 BACKLOG_DRAIN_MS = 8000
-# Callers of streams leave when nothing has come for the longest of these: a time, so
-# many times the aim of the first event, so many times the allowed pause.
+# Callers of streams give up after the longest of these without an event: a minimum,
+# this many times the latency target of the first event, and this many times the
+# allowed inter-event gap.
 LEAST_PATIENCE_MS = 2000
 PATIENCE_AIMS = 4
 PATIENCE_PAUSES = 8
-# The part of that which the first event takes after the group has opened.
+# Time reserved, out of that wait, for the first event after the group has opened.
 FIRST_EVENT_RESERVE_MS = 250
-# What most whole answers take: a caller with less left is not kept waiting, and not
-# begun after an outage in a slot that another could use.
+# Most answers are complete within this time. A caller with less time left is not kept
+# waiting, and is not admitted after an outage to a slot that another could use.
 TYPICAL_ANSWER_MS = 1500
-# A caller heeds a time to come back of up to a third of what it has left.
+# A caller obeys a Retry-After of up to a third of its time left.
 RETRY_AFTER_SHARE = 0.33
-# Callers are sent back spread over this part of the time, so that those whose streams
-# broke in the same moment do not come back in one.
+# Jitter of Retry-After, as a fraction of it: callers whose streams broke at the same
+# moment must not return at the same moment.
 SPREAD = 0.05
 
 
 @attrs.define
 class Suspicion:
-    """A group that one of its endpoints said to be broken."""
+    """The suspicion that a group is broken, from a refusal by one of its endpoints.
+
+    ``outage_start_ms`` is when it began, ``probe_ms`` when the next probe may be sent.
+    """
 
     outage_start_ms: int
     probe_ms: int
 
 
 def address_of(member):
-    """Where a service's endpoint answers, as a rank's agent names it."""
+    """The ``host:port`` of a service's endpoint, as its rank's agent reports it."""
     return f"{member.host}:{member.port}"
 
 
 @attrs.define
 class Outages:
-    """Groups by the address of their engines, and which of them stand."""
+    """Groups by the address of their engines, and which of them are stalled."""
 
     group_by_address: dict = attrs.field(factory=dict)
     epoch_by_group: dict = attrs.field(factory=dict)
@@ -66,7 +71,7 @@
     opened_ms_by_group: dict = attrs.field(factory=dict)
 
     def update(self, ranks, live_addresses, now):
-        """Take in what the agents of *ranks* say; the groups that opened."""
+        """Update from the agents of *ranks*; return the sorted groups that opened."""
         for rank in ranks:
             self.group_by_address[rank.engine] = rank.group
         for address in list(self.group_by_address):
@@ -100,10 +105,10 @@
         return sorted(opened)
 
     def suspect(self, member, now):
-        """*member* named another endpoint as the cause of a refusal.
+        """Suspect the group of *member*, which blamed another endpoint in a refusal.
 
-        Returns whether its group is known; without one, the endpoint itself
-        is the one to avoid.
+        Returns whether its group is known; if not, the endpoint itself should be
+        avoided.
         """
         group = self.group_by_address.get(address_of(member))
         if group is None:
@@ -113,13 +118,13 @@
         return True
 
     def data_received(self, member):
-        """Something came from *member*: its group does not stand."""
+        """Record that data came from *member*: its group is not stalled."""
         if self.suspicion_by_group:
             group = self.group_by_address.get(address_of(member))
             self.suspicion_by_group.pop(group, None)
 
     def is_stalled(self, member, now):
-        """Whether the group of *member* is to be sent nothing."""
+        """Whether the group of *member* is stalled and gets no requests."""
         group = self.group_by_address.get(address_of(member))
         if group is None:
             return False
@@ -129,19 +134,19 @@
         return suspicion is not None and now < suspicion.probe_ms
 
     def probe(self, member, now):
-        """*member* is sent a request: if its group is suspected, as a probe."""
+        """Record a request to *member*, which is a probe if its group is suspected."""
         group = self.group_by_address.get(address_of(member))
         suspicion = self.suspicion_by_group.get(group)
         if suspicion is not None:
             suspicion.probe_ms = now + PROBE_MS
 
     def opened_recently(self, group, now):
-        """Whether callers are still about who waited for *group* to open."""
+        """Whether there may still be callers that waited for *group* to open."""
         opened_ms = self.opened_ms_by_group.get(group)
         return opened_ms is not None and now - opened_ms < BACKLOG_DRAIN_MS
 
     def outage_start_ms(self, members, now):
-        """When the outage of the last group of *members* to stand began."""
+        """When (ms) the latest outage among the groups of *members* began."""
         starts = []
         for group in {self.group_by_address.get(address_of(m)) for m in members}:
             if group in self.broken_since_by_group:
@@ -152,21 +157,28 @@
 
 
 def event_timeout_ms(aim_ms, pause_ms):
-    """How long (ms) a caller of a stream waits for the next event, at least."""
+    """How long (ms) a caller of a stream waits for the next event, at least.
+
+    *aim_ms* is the latency target of the first event, *pause_ms* the allowed
+    inter-event gap.
+    """
     aims, pauses = PATIENCE_AIMS * aim_ms, PATIENCE_PAUSES * pause_ms
     return max(LEAST_PATIENCE_MS, aims, pauses)
 
 
 def max_retry_after_ms(left_ms):
-    """The longest time to come back (ms) that a caller with *left_ms* heeds."""
+    """The longest Retry-After (ms) that a caller with *left_ms* left obeys."""
     return max(0, left_ms) * RETRY_AFTER_SHARE
 
 
 def outage_retry_after_ms(since_ms, now, left_ms, rng):
-    """When a caller refused in an outage should come back, in ms from *now*.
+    """The Retry-After (ms) of a caller refused during an outage.
+
+    The outage began at *outage_start_ms*, and the caller has *left_ms* of its timeout
+    left.
 
-    An outage that has lasted a while lasts about as long again, and a caller
-    that comes back too soon is refused again and may have no try left.
+    An outage is expected to last about as long again as it has lasted. A caller that
+    returns too soon is refused again and may have no attempt left.
     """
     wanted = max(LEAST_OUTAGE_MS, now - since_ms)
     return min(wanted, max_retry_after_ms(left_ms)) * (1 - SPREAD * rng.random())
--- a/dunlinpoint/routing/pick.py
+++ b/dunlinpoint/routing/pick.py
@@ -1,17 +1,17 @@
-"""Which endpoint gets the next try of a request.
+"""Selection of the endpoint for the next attempt of a request.
 
-The least loaded wins, counted in this entry's own requests in flight, or in
-what the endpoint itself last reported if that is more, against how many it
-runs at once. An endpoint in another zone counts as if it had
-:data:`AWAY_REQUESTS` more. Of two with the same load the one that comes first
-in the entry's own order (:mod:`spread`) wins.
+The least loaded endpoint is picked. Its load is the number of this entry's requests
+in flight there, or the load that the endpoint last reported if that is more, divided
+by its slots. An endpoint in another zone counts as if it had :data:`AWAY_REQUESTS`
+more. Of two with the same load, the first in the entry's own order
+(:mod:`endpoint_order`) is picked.
 
-An endpoint that failed a request is avoided for a while, doubling with each
-failure in a row: health reports lag and some endpoints fail while they
-report health, so what counts is what requests met.
+An endpoint that failed a request is avoided for a time that doubles with each
+consecutive failure. This goes by the outcome of requests, because health reports lag
+and some endpoints fail requests while they report that they are healthy.
 
-All that is known of an endpoint is kept by its incarnation (:func:`incarnation_key`):
-one that has started again is as idle and as sound as any new one.
+The records are kept by an endpoint's incarnation (:func:`incarnation_key`): an
+endpoint that has restarted counts as idle and healthy.
 """
 
 from __future__ import annotations
@@ -22,27 +22,27 @@
 
 from dunlinpoint.routing import endpoint_signals
 
-# How many requests more an endpoint of the entry's own zone may have: the way
-# to another zone costs a millisecond or two, a queue far more.
+# Handicap, in requests, of endpoints in other zones: the way there costs a millisecond
+# or two, a queue far more.
 AWAY_REQUESTS = 1.0
-# How much of one request the place in the order weighs, so that it only
+# Weight, in requests, of the position in the entry's order. Below one request, it only
 # decides between endpoints of the same load.
 ORDER_REQUESTS = 0.9
 AVOID_MS = 400
 AVOID_MAX_MS = 5000
 DEFAULT_SLOTS = 4
-# An endpoint with requests at it that has sent nothing for so long, while
-# another of its service has within OTHERS_MS, is taken for gone.
+# An endpoint with requests in flight that has sent nothing for this long, while
+# another of its service has within OTHERS_MS, is unresponsive.
 UNRESPONSIVE_MS = 1000
 OTHERS_MS = 200
 
 
 def incarnation_key(member):
-    """What names one start of an endpoint, which may start again under its id.
+    """The key of one incarnation of an endpoint, which may restart under its id.
 
-    Kept by the id alone, requests in flight at the earlier start and its failures
-    would count against the new one, and a stream that was cut off could not go on
-    there.
+    With the id alone as the key, requests in flight and failures from before a restart
+    would count against the new incarnation, and a stream that was broken off could not
+    be continued there.
     """
     if not member.incarnation:
         return member.endpoint_id
@@ -51,7 +51,10 @@
 
 @attrs.define
 class Record:
-    """What this entry knows of one life of an endpoint from its own requests."""
+    """State of one incarnation of an endpoint, from this entry's own requests.
+
+    ``failures`` counts consecutive ones; times are in ms of the local clock.
+    """
 
     in_flight: int = 0
     failures: int = 0
@@ -61,21 +64,21 @@
 
 @attrs.define
 class Picker:
-    """Records by an endpoint's life."""
+    """Picks endpoints for an entry in ``zone``; records are kept by incarnation."""
 
     zone: str
     record_by_life: dict = attrs.field(factory=dict)
     signals: endpoint_signals.Signals = attrs.field(factory=endpoint_signals.Signals)
 
     def record(self, name):
-        """The record of the life *name*, new if there is none."""
+        """The record of the incarnation *name*, created on first use."""
         record = self.record_by_life.get(name)
         if record is None:
             record = self.record_by_life[name] = Record()
         return record
 
     def forget(self, live):
-        """Drop records of lives that are not among *live*, and idle."""
+        """Drop idle records of incarnations that are not among *live*."""
         for name, record in list(self.record_by_life.items()):
             if name not in live and not record.in_flight:
                 del self.record_by_life[name]
@@ -85,10 +88,10 @@
 
         With *near*, those of the entry's own zone are preferred.
 
-        Endpoints whose lives are in *exclude* were tried already. Avoided ones
-        are taken only when there is no other: an endpoint that failed lately
-        may serve, and no endpoint at all serves nothing. One that has said that
-        it takes nothing now is never taken.
+        Endpoints whose incarnations are in *exclude* are skipped, as they were tried
+        already. Avoided ones are picked only when there is no other: an endpoint that
+        failed recently may still serve the request. One whose signals allow no request
+        now is never picked.
         """
         best, least = None, None
         spared, soonest = None, None
@@ -107,7 +110,7 @@
         return spared if best is None else best
 
     def available_ms(self, members, now, exclude=()):
-        """From when (ms) on one of *members* takes a request, ``None`` if none will."""
+        """When (ms) the first of *members* may get a request, ``None`` if none may."""
         names = [name for name in map(incarnation_key, members) if name not in exclude]
         times = [self.signals.available_ms(name, now) for name in names]
         return min((at for at in times if at != math.inf), default=None)
@@ -119,24 +122,24 @@
         return (requests + ORDER_REQUESTS * order) / (member.slots or DEFAULT_SLOTS)
 
     def began(self, name):
-        """A request was sent to the endpoint."""
+        """Count one more request in flight at the endpoint."""
         self.record(name).in_flight += 1
 
     def ended(self, name):
-        """A request at the endpoint is over."""
+        """Count one request in flight at the endpoint less."""
         self.record(name).in_flight -= 1
 
     def data_received(self, name, now):
-        """Some bytes of an answer came from the endpoint."""
+        """Record that bytes of an answer came from the endpoint."""
         self.record(name).heard_ms = now
 
     def is_unresponsive(self, name, members, now):
-        """Whether the endpoint is silent while others of its kind are not.
+        """Whether the endpoint is unresponsive while another of *members* is not.
 
-        A frozen or unreachable machine closes no connection; its requests
-        would wait until their callers give up. Ranks step together, so one
-        that is silent among others that are not is no busy one; where all
-        are silent, the group stands and another try would stand as well.
+        A frozen or unreachable machine closes no connection, and its requests would
+        wait until their callers give up. Ranks run in lock-step, so a rank that sends
+        nothing while others do is not just busy. Where none sends anything, the group
+        is stalled, and another attempt would wait as well.
         """
         if now - self.record(name).heard_ms < UNRESPONSIVE_MS:
             return False
@@ -144,13 +147,13 @@
         return any(now - self.record(o).heard_ms < OTHERS_MS for o in others)
 
     def succeeded(self, name):
-        """The endpoint answered as it should."""
+        """Record a success of the endpoint: it is no longer avoided."""
         record = self.record(name)
         record.failures = 0
         record.avoid_until_ms = 0
 
     def failed(self, name, now):
-        """The endpoint failed a request: avoid it for a while."""
+        """Record a failed request of the endpoint, and avoid it for a while."""
         record = self.record(name)
         record.failures += 1
         pause = min(AVOID_MS * 2 ** (record.failures - 1), AVOID_MAX_MS)
--- a/dunlinpoint/routing/rate.py
+++ b/dunlinpoint/routing/rate.py
@@ -1,13 +1,13 @@
-"""An entry's part of the rate that an endpoint takes from all entries together.
+"""An entry's share of an endpoint's rate limit, which holds for all entries together.
 
-No entry sees what the others send. They agree by what each knows: how many entries
-there are, which of them it is, and the rate. A slow rate falls to a few of them, drawn
-by the endpoint's name, and each of these leaves a pause between two requests. Were it
-divided among all, thirty entries that saved up one request each could send all of them
-in the same second.
+No entry sees what the others send. They divide the rate by what each of them knows: the
+number of entries, its own index among them, and the rate. A low rate is assigned to a
+few entries, selected by a hash of the endpoint's name, and each of these spaces out its
+requests. Divided among all, thirty entries with one unused request each could send all
+of them in the same second.
 
-The other entries ask now and then, or they would not learn that the limit is over. What
-of that they do not use is not saved up.
+The other entries send a request now and then, or they would not learn that the limit
+has ended. They do not accumulate the requests that they do not use.
 """
 
 import math
@@ -17,28 +17,33 @@
 
 from dunlinpoint import clock
 
-# What the users of a rate may send at once: some requests, which any endpoint runs at
-# once, and so many seconds' worth of the rate.
+# The largest burst, and so the number of entries that share most of the rate: some
+# requests that any endpoint can run at once, plus the rate over BURST_S seconds.
 AT_ONCE = 4
 BURST_S = 2.0
-# The part of a rate that is left to the other entries.
+# The fraction of the rate that is left to the other entries.
 ASKING_PART = 0.2
-# How long one of these may ask when its turn comes.
+# How long one of these may send its request once it is due.
 TURN_MS = 1000
-# A rate below this counts as this: one that is never asked never lifts its limit.
+# Minimum rate (requests a second): an endpoint that gets no request can't lift its
+# limit.
 LEAST_PER_S = 0.1
 
 
 @attrs.frozen
 class Part:
-    """The pause between two requests, and for how long (ms) a turn is kept."""
+    """One entry's share of a rate: its interval, and for how long (ms) a turn lasts.
+
+    ``pause_ms`` is the interval between two requests. A turn not used within
+    ``kept_ms`` is skipped.
+    """
 
     pause_ms: float
     kept_ms: float = math.inf
 
     @classmethod
     def of(cls, per_s, life, place, places):
-        """What of *per_s* falls to entry *place* (0 up) of *places*."""
+        """The share of *per_s* for the entry with index *place* of *places*."""
         per_s = max(per_s, LEAST_PER_S)
         users = min(places, AT_ONCE + int(BURST_S * per_s))
         others = places - users
@@ -50,9 +55,10 @@
 
 @attrs.define
 class Rate:
-    """This entry's turns at one endpoint that names a limit.
+    """When this entry may send requests to one endpoint with a rate limit.
 
-    ``named_ms`` is when the limit, requests a second, was last named.
+    ``per_s`` is the limit (requests a second) for all entries, ``named_ms`` when an
+    answer last bore it, and ``turn_ms`` when the next request is due.
     """
 
     per_s: float
@@ -62,21 +68,21 @@
 
     @classmethod
     def begin(cls, per_s, now, part, rng):
-        """A limit first heard of at *now*: entries' turns begin apart."""
+        """A limit first received at *now*; the first turn gets a random offset."""
         return cls(per_s, now, part, now + part.pause_ms * rng.random())
 
     def change(self, part, now):
-        """Another *part* falls to this entry; no turn is put off by it."""
+        """Change this entry's share to *part*, without delaying the next turn."""
         self.part = part
         self.turn_ms = min(self.turn_ms, now + part.pause_ms)
 
     def available_ms(self, now):
-        """From when (ms) on the next request may be sent."""
+        """When (ms) the next request may be sent."""
         missed = now - self.turn_ms
         if missed > self.part.kept_ms:
             self.turn_ms += math.ceil(missed / self.part.pause_ms) * self.part.pause_ms
         return self.turn_ms
 
     def sent(self, now):
-        """A request is sent."""
+        """Record that a request is sent."""
         self.turn_ms = now + self.part.pause_ms
--- a/dunlinpoint/routing/tests/model.py
+++ b/dunlinpoint/routing/tests/model.py
@@ -1,8 +1,8 @@
 """A small seeded model of entries in front of the ranks of one group.
 
-Requests come at random and last for a while; every entry picks by what it
-knows. What is read off is how even the ranks are, since ranks advance in
-lock-step and the busiest sets the pace of all.
+Requests arrive at random and last for a while, and every entry picks by its own
+state. The result is how evenly the ranks are loaded: ranks run in lock-step, so the
+busiest one determines the speed of all.
 """
 
 import collections
@@ -21,7 +21,10 @@
 
 @attrs.define
 class Group:
-    """Ranks, the entries in front of them, and what comes in."""
+    """Ranks, the entries in front of them, and the arriving requests.
+
+    ``per_s`` requests arrive a second and last ``mean_s`` seconds on average.
+    """
 
     entries: int
     ranks: int
@@ -32,7 +35,7 @@
     seed: int = 1
 
     def members(self):
-        """The ranks as members, in the order that every entry knows them in."""
+        """The ranks as members, in the order that is the same at all entries."""
         return [
             ttypes.Member(
                 endpoint_id=f"r{i:05d}", zone=f"z{i % ZONES}", slots=self.slots, load=0
@@ -43,11 +46,11 @@
 
 @attrs.frozen
 class Evenness:
-    """How even a day was.
+    """How evenly one run loaded the ranks.
 
-    *busiest* is the busiest rank over the mean at a moment, on average, and
-    *most* the one with most requests of the day over the mean; *crowded* is the
-    part of requests that met a rank without room.
+    *busiest* is the load of the busiest rank over the mean load, averaged over the run,
+    and *most* the same ratio for the requests sent in the whole run; *crowded* is the
+    fraction of requests sent to a rank without a free slot.
     """
 
     busiest: float
@@ -56,10 +59,9 @@
 
 
 def play(group, order):
-    """Play *group* with entries that prefer ranks as *order* has them.
+    """Simulate *group* with entries that prefer ranks by *order*.
 
-    ``order(members, entry, rng)`` gives the list that an :class:`Entry` picks
-    from.
+    ``order(members, entry, rng)`` returns the list that an :class:`Entry` picks from.
     """
     rng = random.Random(group.seed)
     members = group.members()
@@ -94,7 +96,7 @@
 
 @attrs.define(eq=False)
 class Entry:
-    """One entry: its zone, and its place among those of its zone."""
+    """One entry: its zone, and its index among the entries of its zone."""
 
     zone: str
     place: int
@@ -104,14 +106,14 @@
 
     @classmethod
     def from_number(cls, number, entries):
-        """Entry *number* of so many, which take turns among the zones."""
+        """Entry *number* of *entries*, which are assigned to the zones in turn."""
         zone = number % ZONES
         places = len(range(zone, entries, ZONES))
         return cls(f"z{zone}", number // ZONES, places, pick.Picker(f"z{zone}"))
 
 
 def round_robin(members, entry, _rng):
-    """Every entry begins at its own place."""
+    """Every entry begins at its own endpoint."""
     if entry.arranged is None:
         entry.arranged = endpoint_order.preferred_order(
             members, entry.zone, entry.place, entry.places
@@ -120,10 +122,10 @@
 
 
 def at_random(members, _entry, rng):
-    """Ties broken at random, as before."""
+    """Ties are broken at random."""
     return rng.sample(members, len(members))
 
 
 def same(members, _entry, _rng):
-    """Every entry prefers the same ones."""
+    """Every entry prefers the same endpoints."""
     return members
--- a/dunlinpoint/routing/tests/overload.py
+++ b/dunlinpoint/routing/tests/overload.py
@@ -1,11 +1,12 @@
-"""A seeded model of one group of ranks near its limit, and of callers that come back.
-
-Every pass gives each stream an event. How long it takes follows from the engine's
-published figures: what the busiest rank does by itself, and what the most loaded
-rank does of the experts' part, set by set, which is *skew* times the mean. A stream
-waits for a slot while all are taken. It is in time if its first event comes within the
-aim, counted from its caller's first attempt, and no pause is longer than allowed. A
-caller that is refused comes back once, when told to, and is lost if refused again.
+"""A seeded model of one group of ranks near its capacity, and of callers that retry.
+
+Every step gives each stream an event. The length of a step follows from the engine's
+published figures: the work of the busiest rank by itself, and the experts' work of the
+most loaded rank, set by set, which is *skew* times the mean. A stream waits for a slot
+while all are taken. It is in time if its first event comes within the latency target,
+counted from its caller's first attempt, and no inter-event gap is longer than allowed.
+A caller that is refused retries once, after its Retry-After, and is lost if it is
+refused again.
 """
 
 import collections
@@ -18,25 +19,26 @@
 from dunlinpoint.routing import admission_control, latency, outage
 from dunlinpoint.routing.tests import passes
 
-# The way to the engine and back, and what the busiest rank has over the mean.
+# The round trip to the engine, and the load of the busiest rank over the mean.
 WAY_MS = 8
 BUSIEST = 1.2
 EXPERT_SHARE = 0.85
-# What a late stream is worth to its caller, and what one refused twice costs.
+# The score of a late stream, and of a caller refused twice; one in time scores 1.
 LATE = 0.25
 REFUSED_TWICE = -0.3
 WINDOW_MS = 2000
-# How long a caller has, and how often the model looks at a group that stands.
+# A caller's timeout, and the time step of the model while the group is stalled.
 TIMEOUT_MS = 8000
 TICK_MS = 25
 
 
 @attrs.frozen
 class Engine:
-    """An engine, and what is asked of it.
+    """An engine, and the size of its streams.
 
-    A pass makes ``steps`` steps of ``step_ms`` and so much more for each stream of a
-    rank; ``events``, ``most_events`` and ``prompt`` (tokens) are a stream's size.
+    A step of the group makes ``steps`` engine steps of ``step_ms`` plus ``stream_ms``
+    for each stream of a rank. ``events`` (mean) and ``most_events`` are the number of
+    events of a stream, ``prompt`` the mean number of tokens of its prompt.
     """
 
     step_ms: float = 4.55
@@ -51,7 +53,7 @@
     allowed_ms: int = 120
 
     def pass_ms(self, writing, read_tokens, skew, slow, ranks):
-        """How long a pass of *writing* streams takes that reads *read_tokens*."""
+        """How long a step takes with *writing* streams and *read_tokens* to read."""
         work = self.steps * self.stream_ms * writing / ranks
         read = read_tokens / self.read_per_ms / ranks
         own = self.steps * self.step_ms
@@ -60,11 +62,11 @@
 
 
 SMALL = Engine()
-# Of a group of 72 ranks.
+# For a group of 72 ranks.
 WIDE = Engine(
     steps=5, stream_ms=2.18, slots=5, events=19.4, most_events=48, allowed_ms=150
 )
-# Of one group of 63 ranks over three zones.
+# For one group of 63 ranks in three zones.
 ACROSS = Engine(
     step_ms=5.85,
     steps=6,
@@ -77,7 +79,7 @@
     aim_ms=406,
     allowed_ms=120,
 )
-# Of groups of 64 ranks with few slots and long steps.
+# For groups of 64 ranks with few slots and long steps.
 LARGE = Engine(
     step_ms=5.85,
     steps=8,
@@ -93,11 +95,12 @@
 
 @attrs.define
 class Load:
-    """A day: arrivals a second, skew of experts, and how slow the slowest rank is.
+    """A run: arrivals a second, skew of experts, and slowdown of the slowest rank.
 
-    The group stands from and to ``stands_ms``. The last three play other ways than the
-    entries': whether a caller's first try waits for the group, what part of an entry's
-    slots late callers may take, and whether these are less urgent to endpoints.
+    The group is stalled during ``stands_ms`` (from, to). The last three fields set
+    alternatives to the entries' behaviour: whether a caller's first attempt is refused
+    instead of waiting for the group, the fraction of an entry's slots that late callers
+    may take, and whether endpoints serve these last.
     """
 
     per_s: object
@@ -114,13 +117,13 @@
     late_are_last: bool = True
 
     def is_stalled(self, now):
-        """Whether nothing begins at *now*."""
+        """Whether the group is stalled at *now*."""
         if self.stands_ms is None:
             return False
         return self.stands_ms[0] <= now < self.stands_ms[1]
 
     def opened_recently(self, now):
-        """Whether callers are about that waited for the group to open."""
+        """Whether there may be callers that waited for the group to open."""
         if self.stands_ms is None:
             return False
         return 0 <= now - self.stands_ms[1] < outage.BACKLOG_DRAIN_MS
@@ -128,18 +131,18 @@
 
 @attrs.define
 class Result:
-    """What became of the callers, by the window in which each asked first."""
+    """Outcomes of the callers, by the window of their first attempt."""
 
     by_window: dict = attrs.field(
         factory=lambda: collections.defaultdict(collections.Counter)
     )
 
     def count(self, caller, kind):
-        """One caller's end: ``in_time``, ``latency`` or ``lost``."""
+        """Count the outcome of a caller: ``in_time``, ``latency`` or ``lost``."""
         self.by_window[int(caller.asked_ms // WINDOW_MS)][kind] += 1
 
     def total(self, kind):
-        """How many callers ended so."""
+        """The number of callers with the outcome *kind*."""
         return sum(window[kind] for window in self.by_window.values())
 
     @property
@@ -148,12 +151,12 @@
 
     @property
     def worth(self):
-        """Mean worth of a caller."""
+        """The mean score of a caller."""
         latency, lost = LATE * self.total("late"), REFUSED_TWICE * self.total("lost")
         return (self.total("in_time") + latency + lost) / self.asked
 
     def share_in_time(self, window):
-        """The part of those in time who asked in one window."""
+        """The fraction in time of the callers of one window."""
         found = self.by_window[window]
         return found["in_time"] / max(1, found.total())
 
@@ -178,23 +181,23 @@
         self.came_ms = self.asked_ms
 
     def end(self, now):
-        """What becomes of the caller of a stream that is whole at *now*."""
+        """The outcome of the caller of a stream that is complete at *now*."""
         if now - self.asked_ms > TIMEOUT_MS:
             return "lost"
         return "late" if self.is_past_latency_target else "in_time"
 
     def is_past_aim(self, engine, now):
-        """Whether its first event can't be in time any more."""
+        """Whether its first event can't come within the latency target any more."""
         return latency.is_past_latency_target(self.asked_ms - now, 0, engine.aim_ms)
 
     def wait_until(self, engine):
-        """Until when its caller waits at its entry for room, as in :mod:`capacity`."""
+        """When its caller stops waiting here for capacity, as in :mod:`capacity`."""
         if not self.waits_its_turn:
             return self.came_ms + capacity.WAIT_SHARE * engine.aim_ms
         return self.leaves_ms(engine)
 
     def leaves_ms(self, engine):
-        """When its caller would leave before the first event comes."""
+        """When its caller would give up without a first event."""
         event_timeout_ms = outage.event_timeout_ms(engine.aim_ms, engine.allowed_ms)
         until_ms = self.came_ms + event_timeout_ms - outage.FIRST_EVENT_RESERVE_MS
         return min(until_ms, self.asked_ms + TIMEOUT_MS - outage.TYPICAL_ANSWER_MS)
@@ -202,7 +205,7 @@
 
 @attrs.define
 class Entry:
-    """One entry: who it lets in by passes, and which late callers wait there."""
+    """One entry: its admission control, and its queue of late callers."""
 
     controller: object
     queue: latency.Queue = attrs.field(factory=latency.Queue)
@@ -217,7 +220,7 @@
         )
 
     def has_room(self, stream, now, rng, engine, entry_slots):
-        """Whether *stream* begins now."""
+        """Whether *stream* is admitted now."""
         if not self.controller.has_room(now, rng, stream.returned):
             return False
         if not stream.waits_its_turn:
@@ -232,21 +235,21 @@
         )
 
     def leave(self, stream):
-        """*stream* waits for no slot here any more."""
+        """Remove *stream* from the queue."""
         if stream.turn is not None:
             self.queue.leave(stream.turn)
             stream.turn = None
 
 
 def waits(load, stream, now):
-    """Whether the caller of *stream* waits here while its group stands."""
+    """Whether the caller of *stream* waits here while its group is stalled."""
     if load.sends_off_at_first and not stream.returned:
         return False
     return now < stream.leaves_ms(load.engine)
 
 
 def play(load, make_pace=admission_control.AdmissionController):
-    """Play *load* with entries that admit by ``make_pace(allowed_ms)``."""
+    """Simulate *load* with entries that admit by ``make_pace(allowed_ms)``."""
     engine = load.engine
     rng = random.Random(load.seed)
     weights = [rng.uniform(0.5, 1.5) for _ in range(load.entries)]
@@ -308,14 +311,14 @@
 
 
 def lose(streams, entries, result):
-    """The group broke: *streams* are broken off, and their callers have gone."""
+    """Count *streams* as lost: the group broke, and their callers have given up."""
     for stream in streams:
         entries[stream.entry].controller.ended()
         result.count(stream, "lost")
 
 
 def send_away(rng, load, caller, at, weights, lasting):
-    """Refuse *caller* at *at*; when it comes back, at another entry."""
+    """Refuse *caller* at *at*; return when it retries, at an entry drawn anew."""
     caller.returned = True
     caller.entry = rng.choices(range(len(weights)), weights)[0]
     caller.draw = rng.random()
@@ -331,7 +334,7 @@
 
 
 def step(engine, stream, now, control, result):
-    """One event of *stream* at *now*."""
+    """Give *stream* one event at *now*."""
     if stream.last_ms is None:
         stream.is_past_latency_target |= now + WAY_MS - stream.asked_ms > engine.aim_ms
     else:
@@ -346,13 +349,13 @@
 
 
 def split(items, count):
-    """The first *count* of *items*, and the others."""
+    """The first *count* of *items*, and the rest."""
     count = max(0, count)
     return items[:count], items[count:]
 
 
 def fresh(rng, load, weights, at):
-    """A caller that asks for the first time."""
+    """A caller's first attempt."""
     engine = load.engine
     events = min(engine.most_events, 1 + int(rng.expovariate(1 / engine.events)))
     prompt = int(rng.expovariate(1 / engine.prompt))
@@ -361,7 +364,7 @@
 
 
 class AllIn:
-    """Admission that lets everyone in."""
+    """Admission control that admits every request."""
 
     def __init__(self, allowed_ms):
         pass
--- a/dunlinpoint/routing/tests/passes.py
+++ b/dunlinpoint/routing/tests/passes.py
@@ -1,8 +1,8 @@
-"""A seeded model of a group whose passes get longer with every stream.
+"""A seeded model of a group whose steps get longer with every stream.
 
-Each pass gives every stream one event. What is read off is how many streams
-were in time: every pause no longer than allowed. The figures of a pass are
-those of the engines that our users run.
+Each step gives every stream one event. The result is how many streams were in time:
+no inter-event gap longer than allowed. The figures of a step are those of engines in
+use.
 """
 
 import random
@@ -15,7 +15,7 @@
 STEP_MS = 5.85
 STREAM_MS = 0.71
 EXPERT_SHARE = 0.85
-# Reading prompts takes so much longer of a pass for each that begins in it.
+# Time in a step for reading the prompt of each stream that begins in it.
 READ_MS = 8.4
 EVENTS = 28
 ALLOWED_MS = 120
@@ -23,7 +23,7 @@
 
 @attrs.define
 class Load:
-    """Arrivals a second over the length of a day, and the skew of experts."""
+    """Arrivals a second and the skew of experts, as functions of the time (ms)."""
 
     per_s: object
     skew: object
@@ -35,7 +35,7 @@
 
 @attrs.define
 class Result:
-    """What became of the streams."""
+    """Outcomes of the streams."""
 
     in_time: int = 0
     late: int = 0
@@ -47,14 +47,14 @@
 
 
 def pass_ms(streams, began, skew, ranks):
-    """How long a pass takes with so many streams over all ranks."""
+    """How long (ms) a step takes with *streams* over all *ranks*."""
     busiest = streams / ranks + 1
     own = STEPS * (STEP_MS + STREAM_MS * busiest + READ_MS * min(1, began / ranks))
     return own * (1 - EXPERT_SHARE + EXPERT_SHARE * skew)
 
 
 def play(load, limited):
-    """Play *load*, with entries that keep to their pace or let everyone in."""
+    """Simulate *load*, with admission control at entries if *limited*."""
     rng = random.Random(load.seed)
     paces = [
         admission_control.AdmissionController(ALLOWED_MS) for _ in range(load.entries)
@@ -87,7 +87,7 @@
 
 
 def arrivals(rng, mean):
-    """How many of *mean* expected arrivals come."""
+    """The number of arrivals, drawn from a Poisson distribution with *mean*."""
     count, total = 0, rng.expovariate(1)
     while total < mean:
         count += 1
--- a/dunlinpoint/routing/tests/test_admission_control.py
+++ b/dunlinpoint/routing/tests/test_admission_control.py
@@ -1,4 +1,4 @@
-"""Who is let in when passes get long."""
+"""Admission when steps get long."""
 
 import random
 import statistics
@@ -45,7 +45,7 @@
 
 
 def test_a_caller_that_came_back_finds_more_room():
-    # A rush: who was refused once has no try after this one.
+    # In a rush, a caller that was refused once has no attempt after this one.
     found = paced(10, 98)
     assert found.admitted_share(1000, returned=True) > found.admitted_share(1000)
     just_over = paced(10, admission_control.NONE_IN * ALLOWED_MS)
@@ -60,7 +60,7 @@
 
 
 def test_room_is_back_with_the_first_short_pass():
-    # Guards against a limit that the first passes after an outage leave behind.
+    # Guards against a limit that remains from the first steps after an outage.
     found = paced(20, 119)
     for _ in range(20):
         found.record_gap(55, 1200)
@@ -68,18 +68,18 @@
 
 
 def test_passes_of_long_ago_keep_nobody_out():
-    # Guards against callers refused by an entry at which nothing runs any more.
+    # Guards against callers refused by an entry without any stream in flight.
     found = paced(20, 118)
     assert found.admitted_share(1000 + admission_control.STALE_MS + 1) == 1
 
 
 def test_a_group_that_stood_is_no_slow_one():
-    # Guards against taking the pause of an outage for the pace of passes.
+    # Guards against taking the gap of an outage for the length of a step.
     assert paced(20, 3000).admitted_share(1000) == 1
 
 
 def lasting(pause_ms, for_ms, in_flight=20):
-    """An ``AdmissionController`` that saw passes of *pause_ms* until *for_ms*."""
+    """A ``AdmissionController`` that recorded gaps of *pause_ms* from 0 to *for_ms*."""
     found = paced(in_flight)
     for now in range(0, for_ms + 1, 50):
         found.record_gap(pause_ms, now)
@@ -87,7 +87,7 @@
 
 
 def test_a_jump_of_demand_alone_has_nobody_refused_at_once():
-    # Guards against callers sent away whom a short wait would have in time.
+    # Guards against refusing callers that would be in time after a short wait.
     found = lasting(45, 6000)
     for now in range(6050, 6450, 50):
         found.record_gap(130, now)
@@ -104,7 +104,7 @@
 
 
 def test_passes_that_make_nobody_late_have_nobody_refused_at_once():
-    # Guards against refusing for good where engines have long passes by nature.
+    # Guards against permanent refusals where the engines' steps are always long.
     assert lasting(100, 20_000).long_window_admitted_share(20_000) == 1
 
 
@@ -119,7 +119,7 @@
 
 
 def test_the_first_passes_after_an_outage_refuse_nobody_at_once():
-    # Guards against taking the first pass for the mean of the last seconds.
+    # Guards against taking the first step for the mean of the last seconds.
     found = lasting(150, 6000)
     opened = 6000 + 3 * admission_control.STALE_MS
     found.record_gap(140, opened)
@@ -142,7 +142,7 @@
 
 @pytest.mark.parametrize("per_s, skew", PATTERNS)
 def test_more_are_in_time_when_fewer_are_let_in(per_s, skew):
-    # Guards against a rush in which every caller let in makes the others late.
+    # Guards against a rush in which every admitted caller makes the others late.
     load = passes.Load(per_s, skew)
     kept = passes.play(load, limited=True)
     all_in = passes.play(load, limited=False)
@@ -156,7 +156,7 @@
 
 
 def jumps(now):
-    """Skew of experts: demand jumps each 3.1 s, and two maps follow it."""
+    """The skew of experts: demand jumps every 3.1 s, and two maps follow it."""
     since = now % 3100
     return 3.4 if since < 450 else 1.8 if since < 600 else 1.4
 
@@ -174,7 +174,7 @@
 
 @pytest.mark.parametrize("per_s, slow, entries, ranks, gain", OVERLOADS)
 def test_fewer_are_late_near_the_limit(per_s, slow, entries, ranks, gain):
-    # Guards against as many in flight as passes bear only without a jump of demand.
+    # Guards against more streams in flight than a jump of demand leaves capacity for.
     worth, all_in = [], []
     for seed in range(1, 9):
         load = overload.Load(
--- a/dunlinpoint/routing/tests/test_endpoint_signals.py
+++ b/dunlinpoint/routing/tests/test_endpoint_signals.py
@@ -1,4 +1,4 @@
-"""What an endpoint says of itself, kept by its life."""
+"""Signals of endpoints, kept by incarnation."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def told():
-    """Notices of an only entry, told of a limit at 1000 ms."""
+    """The signals of a single entry, which received a rate limit at 1000 ms."""
     found = endpoint_signals.Signals()
     found.apply(LIFE, LIMITED, 900, 1000)
     return found
@@ -44,7 +44,7 @@
 
 
 def test_a_limit_outlives_a_gap_in_the_member_list(told):
-    # Guards against a cut that takes an endpoint from the list and brings it back.
+    # Guards against a partition that removes an endpoint and brings it back.
     told.forget(set(), 1000 + endpoint_signals.MEMORY_MS)
     assert is_limited(told)
     told.forget(set(), 1001 + endpoint_signals.MEMORY_MS)
@@ -65,7 +65,7 @@
 
 
 def test_who_has_no_turn_is_not_picked_though_there_is_no_other():
-    # Guards against the way of avoided endpoints, which are taken for want of others.
+    # Guards against treating it as an avoided endpoint, which is the last resort.
     picker = pick.Picker("z")
     members = [ttypes.Member(endpoint_id=LIFE, zone="z", slots=4)]
     picker.signals.apply(LIFE, LIMITED, 900, 1000)
@@ -79,7 +79,7 @@
 
 @pytest.fixture
 def resting():
-    """A picker told at 1000 ms that its only endpoint rests for 3 s, and that one."""
+    """A picker whose only endpoint signalled a backoff of 3 s at 1000 ms, and it."""
     picker = pick.Picker("z")
     picker.signals.apply(LIFE, RESTS, 990, 1000)
     return picker, [ttypes.Member(endpoint_id=LIFE, zone="z", slots=4)]
@@ -93,7 +93,7 @@
 
 
 def test_an_answer_to_an_earlier_request_does_not_end_a_rest(resting):
-    # Guards against streams that began before: their ends made an endpoint sound again.
+    # Guards against the end of an earlier stream making the endpoint available again.
     picker, members = resting
     picker.signals.apply(LIFE, endpoint_signals.NO_SIGNAL, 500, 2000)
     picker.succeeded(LIFE)
@@ -126,7 +126,7 @@
 
 
 def test_an_endpoint_that_leaves_is_not_picked_any_more():
-    # Guards against work for an endpoint that leaves and that control knows as ready.
+    # Guards against requests to a draining endpoint that control still lists as ready.
     picker = pick.Picker("z")
     members = [ttypes.Member(endpoint_id=LIFE, zone="z", slots=4)]
     picker.signals.apply(LIFE, endpoint_signals.Signal(is_draining=True), 990, 1000)
--- a/dunlinpoint/routing/tests/test_groups.py
+++ b/dunlinpoint/routing/tests/test_groups.py
@@ -1,11 +1,11 @@
-"""How streams are divided over groups of ranks."""
+"""Distribution of streams over groups of ranks."""
 
 import random
 
 from dunlinpoint.routing import admission_control, groups
 from dunlinpoint.routing.tests import zones
 
-# Four zones of 18 endpoints each, and three groups of 24 that lie across them; the
+# Four zones of 18 endpoints each, and three groups of 24 that extend over them. The
 # callers of two zones send more than those of the others.
 ACROSS = {
     "g1": {"a": 18, "b": 6},
@@ -18,7 +18,7 @@
 
 
 def test_a_crowded_zone_sends_on_to_groups_that_have_room():
-    # Guards against a crowded zone that keeps to its own group, slow as it is.
+    # Guards against an overloaded zone that uses only its own, slow group.
     place = zones.Deployment(UNEVEN, ACROSS)
     home = zones.play(place, zones.home_only)
     found = zones.play(place, zones.divided)
@@ -27,7 +27,7 @@
 
 
 def test_one_group_with_a_poor_map_is_relieved():
-    # One group's most loaded rank has 2.6 times the mean for 8 s.
+    # The most loaded rank of one group has 2.6 times the mean load for 8 s.
     place = zones.Deployment(
         EVEN, ACROSS, lambda group, now: 2.6 if group == "g1" and now > 8000 else 1.5
     )
@@ -37,7 +37,7 @@
 
 
 def test_shares_do_not_swing():
-    # Guards against all entries running to the quicker group at once.
+    # Guards against all entries sending to the faster group at once.
     found = zones.play(zones.Deployment(EVEN, ACROSS), zones.divided)
     assert min(found.values()) > 0.97, found
 
@@ -72,7 +72,7 @@
 
 
 def test_streams_of_a_forgotten_group_leave_nothing_behind():
-    # Guards against a count of streams in flight that falls below none.
+    # Guards against a negative number of streams in flight.
     found = groups.Groups(120)
     found.update({"g1": 24}, {"g1": 24}, SLOTS)
     found.controller("g1").began()
--- a/dunlinpoint/routing/tests/test_latency.py
+++ b/dunlinpoint/routing/tests/test_latency.py
@@ -1,7 +1,8 @@
-"""Callers that an outage made late: who waits for it, and who begins when it is over.
+"""Callers made late by an outage: waiting during it, and admission after it.
 
-Pattern: one group of 63 ranks stands for 6.6 s while 110 callers a second ask; each is
-heard twice within 8 s. It has 315 slots, of which those who ask in time need 180.
+One group of 63 ranks is stalled for 6.6 s while 110 callers a second arrive, each with
+two attempts within 8 s. The group has 315 slots; callers within their latency target
+need 180 of them.
 """
 
 import collections
@@ -13,7 +14,7 @@
 from dunlinpoint.wire.gen.dunlin import ttypes
 
 STANDS_MS = 4_000, 10_600
-# Windows of the day by when callers ask: while the group stands, and once it is open.
+# Windows of a caller's first attempt: while the group is stalled, and once it is open.
 FIRST, STANDING, OPEN = 2, range(2, 5), range(6, 9)
 LATE = 0.5
 SEEDS = range(1, 4)
@@ -21,12 +22,12 @@
 
 
 def skew(now):
-    """The first maps after the group has opened follow demand in 0.4 s."""
+    """The skew of experts: the first maps after the opening take 0.4 s."""
     return 3.0 if STANDS_MS[1] <= now < STANDS_MS[1] + 400 else 1.6
 
 
 def play(per_s=110, **how):
-    """What became of the callers of all seeds, by the window in which they asked."""
+    """Outcomes of the callers of all seeds, by the window of their first attempt."""
     ends = collections.defaultdict(collections.Counter)
     for seed in SEEDS:
         load = overload.Load(
@@ -46,19 +47,19 @@
 
 
 def worth(ends, windows):
-    """Mean worth of a caller who asks in *windows*."""
+    """The mean score of the callers of *windows*."""
     counts = sum((ends[window] for window in windows), collections.Counter())
     return (counts["in_time"] + LATE * counts["late"]) / counts.total()
 
 
 def test_who_asks_while_a_group_stands_is_served_late_by_waiting_at_each_try():
-    # Guards against a first try that is sent off at once: nobody of these was served.
+    # Guards against refusing the first attempt at once: no such caller was served.
     assert worth(play(sends_off_at_first=True), [FIRST]) < 0.01
     assert worth(play(), [FIRST]) > 0.1
 
 
 def test_who_asks_after_an_outage_is_not_made_late_by_those_who_waited():
-    # Guards against all who waited taking every slot at once.
+    # Guards against the callers that waited taking every slot at once.
     assert worth(play(late_share=ALL_SLOTS, late_are_last=False), OPEN) < 0.8
     assert worth(play(), OPEN) > 0.9
 
@@ -97,7 +98,7 @@
 
 
 def test_endpoints_that_do_not_say_how_many_they_run_have_some_slots():
-    # Guards against late callers that never begin, as no slot is known.
+    # Guards against late callers that are never admitted, as no slot is known.
     assert latency.entry_slots([member("a", None)], "a", 1) > 0
 
 
--- a/dunlinpoint/routing/tests/test_outage.py
+++ b/dunlinpoint/routing/tests/test_outage.py
@@ -1,4 +1,4 @@
-"""Groups of ranks that stand: who is refused, and when to come back."""
+"""Stalled groups of ranks: which get no requests, and Retry-After."""
 
 import random
 
@@ -45,7 +45,7 @@
 
 
 def test_a_group_that_opened_is_used_and_its_endpoints_are_forgiven():
-    # Guards against counting what the group did against each of its ranks.
+    # Guards against counting failures of the group against each of its ranks.
     found = known()
     found.update([rank(0, broken=True), rank(1)], ADDRESSES, NOW)
     opened = found.update([rank(0, epoch=2), rank(1, broken=True)], ADDRESSES, NOW + 9)
@@ -59,7 +59,7 @@
 
 
 def test_one_refusal_that_names_another_stops_the_group_but_for_probes():
-    # Guards against taking ranks for independent servers.
+    # Guards against treating ranks as independent servers.
     found = known()
     found.suspect(ENDPOINTS[0], NOW)
     assert usable(found, NOW + 1) == ["i-2", "i-3"]
@@ -80,7 +80,7 @@
 
 
 def test_callers_come_back_after_the_outage_and_not_all_at_once():
-    # Guards against callers that come back into the outage, or all in one moment.
+    # Guards against callers that return during the outage, or all at the same moment.
     rng = random.Random(1)
     times = [outage.outage_retry_after_ms(NOW, NOW + 100, 8000, rng) for _ in range(50)]
     assert min(times) >= outage.LEAST_OUTAGE_MS * (1 - outage.SPREAD)
@@ -97,7 +97,7 @@
 
 
 def test_an_endpoint_of_no_known_group_is_avoided_itself():
-    # Guards against blaming a group that is not there, and nobody else.
+    # Guards against blaming an unknown group, so that no endpoint is avoided.
     found = outage.Outages()
     assert not found.suspect(ENDPOINTS[0], NOW)
     assert known().suspect(ENDPOINTS[0], NOW)
--- a/dunlinpoint/routing/tests/test_overload.py
+++ b/dunlinpoint/routing/tests/test_overload.py
@@ -1,15 +1,17 @@
-"""A group of ranks that stays late after the cause is gone.
-
-Symptom: too little was served on a heavy day of a large group. A lead was lost for two
-seconds; for twelve seconds after it, one caller in five was in time, at a load of which
-all were in time before, and nobody was refused.
-Sequence: without new maps passes get long. Streams then last longer, so there are more
-of them, until all slots are taken and the others queue at engines. A new lead's maps
-come, but full slots alone keep passes long, and as many callers arrive as end.
-Cause: requests were let in by the last passes only, and drew anew at each look while
-they waited, so that nearly all got in whatever the passes left room for. Played with
-everyone let in, the same load stays late just so; played without the lost lead, all are
-in time: it is the load in flight that lasts, not its cause.
+"""Guards against a group of ranks that stays overloaded after the cause has ended.
+
+The leader of a large group was lost for two seconds. For twelve seconds after that,
+only one caller in five was in time, at a load at which all had been in time before, and
+none was refused.
+
+Without new expert maps, steps get long. Streams then last longer, so there are more of
+them, until all slots are taken and the others queue at engines. A new leader's maps
+arrive, but the full slots alone keep steps long, and as many callers arrive as finish.
+
+Requests had been admitted by the last steps only, with a new draw at each poll while
+they waited, so that nearly all were admitted whatever the capacity. In the simulation,
+the same load stays late if all requests are admitted, and all are in time if no leader
+is lost: the number in flight sustains the overload, not its cause.
 """
 
 import statistics
@@ -18,7 +20,7 @@
 
 LOST_MS = 8_000
 BACK_MS = 10_300
-# Nine in ten are to be in time again 3 s after the cause is gone.
+# Nine in ten callers must be in time again 3 s after the cause has ended.
 AGAIN_MS = BACK_MS + 3_000
 IN_TIME = 0.9
 SEEDS = range(1, 5)
@@ -35,7 +37,7 @@
 
 
 def play(per_s, skew, **how):
-    """The days of all seeds at *per_s* arrivals a second."""
+    """The results of all seeds at *per_s* arrivals a second."""
     loads = [
         overload.Load(
             lambda now: per_s,
@@ -51,7 +53,7 @@
 
 
 def in_time_after(results):
-    """The part in time of those who ask from ``AGAIN_MS`` on, for 6 s."""
+    """The fraction in time of callers that arrive within 6 s from ``AGAIN_MS``."""
     first = -(-AGAIN_MS // overload.WINDOW_MS)
     return statistics.mean(
         result.share_in_time(window)
--- a/dunlinpoint/routing/tests/test_pick.py
+++ b/dunlinpoint/routing/tests/test_pick.py
@@ -1,4 +1,4 @@
-"""Which endpoint gets a request: load, zones, failures, and an even spread."""
+"""Selection of endpoints: load, zones, failures, and an even distribution."""
 
 import collections
 
@@ -56,7 +56,7 @@
 
 
 def test_records_of_endpoints_that_are_gone_are_dropped():
-    # Guards against memory that grows with every endpoint there ever was.
+    # Guards against memory that grows with every endpoint that has ever existed.
     picker = pick.Picker("z0")
     for i in range(3000):
         name = f"e{i}"
@@ -86,7 +86,7 @@
     known = followers.Followers()
 
     def place(zone, name, now):
-        """Place and number in the zone, then among the entries of all zones."""
+        """Index and number of entries: in the zone, then in all zones."""
         return attrs.astuple(known.position_of(zone, name, now))
 
     assert place("z1", "", 0) == (0, 0, 0, 0)
@@ -98,7 +98,8 @@
 
 
 def test_a_poll_does_not_number_all_entries_anew():
-    # Guards against a control that spends a core on some hundred entries' polls.
+    # Guards against a control that needs a whole core for the polls of some hundred
+    # entries.
     known = followers.Followers()
     names = [f"e{i}" for i in range(600)]
     for name in names:
@@ -110,10 +111,10 @@
     assert known.position_by_entry is before
 
 
-# The most requests of a day at one rank, over the mean.
+# The limit of the most requests of a run at one rank, over the mean.
 MOST = 1.4
-# Deployments of today, as grown, and as designed for; the arrivals that fill
-# about three quarters of the ranks' room.
+# A deployment of today's size, a grown one, and one with as many entries as the design
+# allows for; arrivals fill about three quarters of the ranks' slots.
 GROUPS = [
     pytest.param(model.Group(6, 12, 28), 1.50, id="today"),
     pytest.param(model.Group(31, 72, 150, slots=5), 1.80, id="grown"),
@@ -123,7 +124,7 @@
 
 @pytest.mark.parametrize("group, busiest", GROUPS)
 def test_entries_that_see_nothing_of_each_other_spread_evenly(group, busiest):
-    # Guards against a busiest endpoint that sets the pace of all others.
+    # Guards against a busiest endpoint that determines the speed of all others.
     found = model.play(group, model.round_robin)
     before = model.play(group, model.at_random)
     assert found.busiest <= busiest
@@ -133,7 +134,7 @@
 
 
 def test_a_zone_with_few_ranks_of_a_group_does_not_swamp_them():
-    # Guards against six ranks that get all that their zone sends to a group of 24.
+    # Guards against six ranks getting all that their zone sends to a group of 24.
     group = [member(f"a{i:02}", "a") for i in range(18)]
     group += [member(f"b{i:02}", "b") for i in range(6)]
     got = collections.Counter()
@@ -159,7 +160,7 @@
 
 
 def test_an_endpoint_that_started_again_is_as_good_as_new():
-    # Guards against what was kept of an earlier start counting against the new one.
+    # Guards against the state of the previous incarnation counting against a new one.
     picker = pick.Picker("z0")
     earlier, again = member("a"), member("a")
     earlier.incarnation, again.incarnation = 1000, 2000
--- a/dunlinpoint/routing/tests/test_rate.py
+++ b/dunlinpoint/routing/tests/test_rate.py
@@ -1,4 +1,4 @@
-"""Many entries in front of one endpoint that names a limit, without any message."""
+"""Many entries that keep to one endpoint's rate limit without communication."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 def play(entries, per_s, wanted, limit_at=lambda _now: True):
-    """When (ms) requests were sent: ``wanted(now, entry)`` of them tell a need."""
+    """When (ms) requests were sent; ``wanted(now, entry)`` is whether there is one."""
     sent = []
     for now in range(0, LENGTH_MS, STEP_MS):
         for entry in entries:
@@ -36,13 +36,13 @@
 
 
 def tell(entries, per_s):
-    """Every entry has been told once."""
+    """Give every entry the limit once."""
     for entry in entries:
         entry.apply(LIFE, endpoint_signals.Signal(per_s), 0, 0)
 
 
 def most(sent):
-    """The most in any window of 4 s."""
+    """The most requests in any window of 4 s."""
     first, found = 0, 0
     for last, at in enumerate(sent):
         while at - sent[first] >= WINDOW_MS:
@@ -56,7 +56,7 @@
 
 
 def in_bursts(now, _entry):
-    """All entries at once, after none for ten seconds."""
+    """Requests at all entries at once, after none for ten seconds."""
     return now % 12_000 > 10_000
 
 
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize("per_s", [0.0, 0.3, 1.0, 2.5, 10.0])
 @pytest.mark.parametrize("count", [1, 6, 30, 99])
 def test_all_entries_together_keep_to_the_limit(count, per_s, wanted):
-    # Guards against entries that keep to their parts and break the limit together.
+    # Guards against entries that keep to their shares but together exceed the limit.
     for seed in range(2):
         entries = entries_of(count, seed)
         tell(entries, per_s)
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("per_s", [1.0, 10.0])
 @pytest.mark.parametrize("count", [1, 6, 30])
 def test_most_of_what_an_endpoint_takes_is_used(count, per_s):
-    # Guards against an endpoint in need that is left idle.
+    # Guards against leaving the endpoint idle while there are requests for it.
     entries = entries_of(count, 1)
     tell(entries, per_s)
     used = len(play(entries, per_s, always)) / (LENGTH_MS / 1000)
@@ -82,7 +82,7 @@
 
 
 def test_an_entry_that_is_not_a_user_learns_that_the_limit_is_over():
-    # Guards against entries that never ask an endpoint again.
+    # Guards against entries that never send to the endpoint again.
     entries = entries_of(30, 1)
     tell(entries, 2.0)
     play(entries, 2.0, always, limit_at=lambda _now: False)
@@ -90,7 +90,7 @@
 
 
 def test_more_entries_make_smaller_parts_at_once():
-    # Guards against an old part that is kept while entries are added.
+    # Guards against keeping the previous share while entries are added.
     (alone,) = entries_of(1, 1)
     tell([alone], 2.0)
     before = alone.said_by_life[LIFE].rate.part.pause_ms
--- a/dunlinpoint/routing/tests/zones.py
+++ b/dunlinpoint/routing/tests/zones.py
@@ -1,7 +1,7 @@
-"""A seeded model of several groups of ranks before entries in several zones.
+"""A seeded model of several groups of ranks behind entries in several zones.
 
-As in :mod:`passes`, each pass of a group gives each of its streams one event, and
-a stream is in time if no pause is longer than allowed.
+As in :mod:`decode_steps`, each step of a group gives each of its streams one event, and a
+stream is in time if no inter-event gap is longer than allowed.
 """
 
 import random
@@ -20,7 +20,7 @@
 
 @attrs.define
 class Group:
-    """One group's streams, and when its pass ends."""
+    """One group's streams, and when its step ends."""
 
     streams: list = attrs.field(factory=list)
     began: int = 0
@@ -39,7 +39,7 @@
 
 
 def home_only(entry, names, _now, rng):
-    """What entries did before: the own zone's endpoints, and no others."""
+    """Draw a group by its endpoints in the entry's own zone only."""
     weights = [entry.home_by_group[name] for name in names]
     return rng.choices(names, weights)[0]
 
@@ -49,7 +49,7 @@
 
 
 def play(deployment, choose, length_ms=24_000, seed=3):
-    """How many streams were in time, of how many, by zone."""
+    """The fraction of streams in time, by zone."""
     rng = random.Random(seed)
     names = list(deployment.sizes_by_group)
     live = {name: Group() for name in names}
@@ -79,7 +79,7 @@
 
 
 def entry_of(deployment, zone):
-    """One entry's ``Groups`` in *zone*."""
+    """The ``Groups`` of one entry in *zone*."""
     entry = groups.Groups(passes.ALLOWED_MS)
     sizes = {g: sum(s.values()) for g, s in deployment.sizes_by_group.items()}
     here = {g: s.get(zone, 0) for g, s in deployment.sizes_by_group.items()}
--- a/dunlinpoint/suspects/__init__.py
+++ b/dunlinpoint/suspects/__init__.py
@@ -1,6 +1,7 @@
-"""Requests that end every endpoint that runs them: what is known, and who is told.
+"""Detection of requests that crash every endpoint that runs them.
 
-- :mod:`digest` names a request, whoever brings it and however often.
-- :mod:`register` keeps which endpoints ended under it, and says what it may do.
-- :mod:`sharing` carries what one entry saw to all others, by way of the controls.
+- :mod:`digest` identifies a request across its attempts.
+- :mod:`registry` records which endpoints crashed while they ran a request, and
+  whether it may still be run.
+- :mod:`sharing` sends what one entry observed to all others, through the controls.
 """
--- a/dunlinpoint/suspects/digest.py
+++ b/dunlinpoint/suspects/digest.py
@@ -1,4 +1,4 @@
-"""The name of a request: the same each time that a caller brings it."""
+"""The digest that identifies a request: the same for each attempt of its caller."""
 
 import hashlib
 
@@ -7,15 +7,15 @@
 
 
 def of_request(method, uri, caller, body):
-    """The digest of what an endpoint would run (all bytes).
+    """The digest of what an endpoint would run, from ``bytes`` arguments.
 
-    *caller* is in it so that nobody can have another caller's requests refused. The id
-    of an attempt, deadlines and the place where a stream goes on are not: they differ
-    each time.
+    It includes *caller*, so that no caller can have another's requests refused. It
+    excludes the id of the attempt, deadlines and the position from which a stream
+    continues, as they differ between attempts.
     """
     found = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (method, uri, caller):
-        # Without lengths, two requests whose parts join to the same bytes are one.
+        # Without the lengths, requests whose joined parts are the same would collide.
         found.update(len(part).to_bytes(LENGTH_BYTES, "big"))
         found.update(part)
     found.update(body)
--- a/dunlinpoint/suspects/registry.py
+++ b/dunlinpoint/suspects/registry.py
@@ -1,17 +1,17 @@
-"""Which endpoints ended while they ran which request.
+"""Record of which endpoints crashed while they ran which request.
 
-An endpoint that ends has several requests at work, and only one of them, if any, is
-the cause. What tells the cause from the others is that it ends each endpoint that runs
-it: the others are served when they are tried again, and a request that was served once
-is cleared. So a request is convicted only when three endpoints have ended under it and
-none has served it in between.
+An endpoint that crashes has several requests in flight, and at most one of them is the
+cause. The cause differs from the others in that it crashes each endpoint that runs it:
+the others are served when they are retried, and a request that was served once is
+cleared. So a request is convicted only when three endpoints have crashed while running
+it and none has served it in between.
 
-When a rack falls, a request that its caller sent three times at once may lose all three
-of its endpoints in the same moment. That is one event, so it does not convict: the next
-run, alone, decides.
+When a rack fails, a request that its caller sent three times at once may lose all three
+endpoints at the same moment. That counts as one event, which does not convict: the next
+run, during which the request runs alone, decides.
 
-Reports are kept by digest, oldest out, so that a flood of different requests costs a
-bounded memory.
+Reports are kept by digest and the oldest are evicted, so that a flood of different
+requests takes a bounded amount of memory.
 """
 
 import collections
@@ -24,19 +24,19 @@
 
 MAX_SUSPECTS = 100_000
 MAX_LIVES = 8
-# How long a report counts. A caller that still comes back after it costs the engines
-# of one more conviction.
+# How long a report counts. A caller that still retries after it crashes CONVICTED_AT
+# endpoints again.
 EXPIRY_MS = 600_000
 SUSPECTED_AT = 2
 CONVICTED_AT = 3
-# Ends within this time are one event.
+# Crashes within this time count as one event.
 ONE_EVENT_MS = 300
-# The revision of nothing, which has everything told.
+# The revision of a follower that knows nothing: it gets all reports.
 NO_REVISION = 0
 
 
 class SuspectStatus(enum.Enum):
-    """What a request may do: anything, run alone, or nothing."""
+    """Whether a request may run without restriction, only alone, or not at all."""
 
     CLEAR = "clear"
     SUSPECTED = "suspected"
@@ -45,9 +45,10 @@
 
 @attrs.define
 class Suspect:
-    """What is known of one request; times are of the local clock.
+    """Crashes and clearance of one request; times are in ms of the local clock.
 
-    ``void_ms`` is when it was last served or lifted: ends before it do not count.
+    ``void_ms`` is when it was last served or its conviction was lifted: crashes before
+    it do not count.
     """
 
     ended_ms_by_incarnation: dict = attrs.field(factory=dict)
@@ -56,7 +57,7 @@
     revision: int = 0
 
     def suspect_status(self):
-        """What the request may do by the ends that count."""
+        """The ``SuspectStatus`` of the request by the crashes that count."""
         times = self.ended_ms_by_incarnation.values()
         if len(times) < SUSPECTED_AT:
             return SuspectStatus.CLEAR
@@ -66,7 +67,7 @@
         return SuspectStatus.SUSPECTED
 
     def void(self, at_ms):
-        """Nothing up to *at_ms* counts any more; whether that is news."""
+        """Discard crashes up to *at_ms*; return whether that changed anything."""
         if self.void_ms is not None and at_ms <= self.void_ms:
             return False
         self.void_ms = at_ms
@@ -76,7 +77,7 @@
         return True
 
     def ended(self, life, at_ms):
-        """An endpoint ended under the request at *at_ms*; whether that is news."""
+        """Record a crash at *at_ms*; return whether that changed anything."""
         if (
             life in self.ended_ms_by_incarnation
             or len(self.ended_ms_by_incarnation) >= MAX_LIVES
@@ -90,7 +91,11 @@
 
 @attrs.define
 class Registry:
-    """Suspects by digest, the one changed last at the end."""
+    """Suspects by digest, the most recently changed last.
+
+    ``revision`` grows with each change; ``first_revision`` is the one at the start of
+    this process.
+    """
 
     suspect_by_digest: collections.OrderedDict = attrs.field(
         factory=collections.OrderedDict
@@ -105,14 +110,14 @@
         return len(self.suspect_by_digest)
 
     def suspect_status(self, digest, now):
-        """What the request of *digest* may do."""
+        """The ``SuspectStatus`` of the request with *digest*."""
         suspect = self.suspect_by_digest.get(digest)
         if suspect is None or now - suspect.changed_ms > EXPIRY_MS:
             return SuspectStatus.CLEAR
         return suspect.suspect_status()
 
     def apply_report(self, report, now):
-        """Take in a ``CrashReport``; whether it was news."""
+        """Apply a ``CrashReport``; return whether it changed anything."""
         at_ms = now - max(0, report.age_ms)
         suspect = self.suspect_by_digest.get(report.digest)
         if suspect is None:
@@ -139,9 +144,10 @@
             self.suspect_by_digest.popitem(last=False)
 
     def reports(self, known, now):
-        """``CrashReport``s of all that changed since the revision *known*.
+        """``CrashReport``s of all changes since the revision *known*.
 
-        A revision of another life of this process says nothing: all are told.
+        A revision of another incarnation of this process has no meaning here: it gets
+        all reports.
         """
         if not self.first_revision <= known <= self.revision:
             known = NO_REVISION
--- a/dunlinpoint/suspects/sharing.py
+++ b/dunlinpoint/suspects/sharing.py
@@ -1,12 +1,13 @@
-"""How what one entry saw of a request reaches all others.
+"""Propagation of an entry's crash reports to all other entries.
 
-Every entry follows every control that it reaches, so each control that takes a report
-tells all entries that are in touch with it, of its own zone and of others, with the
-answer to their long poll. An entry of a zone that is cut off tells its own zone's
-controls, and the others' entries are told by those once they reach them.
+Every entry follows every control that it reaches, so each control that accepts a report
+forwards it, in the answers to their long polls, to all connected entries of all zones.
+An entry in a zone that is partitioned reports to its own zone's controls, which forward
+the reports to the entries of other zones once they are reachable.
 
-Nothing is on disk: an entry that starts is told by the controls, and what only controls
-knew that were all killed at once is learned again at the price of some endpoints.
+Nothing is stored on disk: an entry that starts gets the reports from the controls. If
+all controls that knew a report are killed at once, the request has to crash some
+endpoints again before it is convicted.
 """
 
 import attrs
@@ -20,27 +21,27 @@
 log = logs.logger("entry")
 
 RETRY_MS = 500
-# More than this many reports wait only where no control was reached for long; the
-# oldest go first.
+# Reports pile up beyond this number only if no control was reachable for long. The
+# oldest are dropped.
 MAX_WAITING = 10_000
 
 
 @attrs.frozen
 class PendingReport:
-    """A report that no control has taken yet, seen at *at_ms*."""
+    """A report that no control has accepted yet, of an event at ``at_ms``."""
 
     digest: bytes
     incarnation: str
     at_ms: int
 
     def to_message(self, now):
-        """The ``CrashReport`` of it."""
+        """The report as a ``CrashReport``."""
         return ttypes.CrashReport(self.digest, self.incarnation, now - self.at_ms)
 
 
 @attrs.define
 class Sharing:
-    """The reports that wait to be told."""
+    """Sends reports to the controls, and keeps those not accepted yet."""
 
     view: view.View
     clock: clock.Clock
@@ -48,7 +49,7 @@
     is_telling: bool = False
 
     def publish(self, reports):
-        """Tell every control in reach of *reports* (``PendingReport``)."""
+        """Send *reports* (``PendingReport``) to every reachable control."""
         self.waiting = (self.waiting + reports)[-MAX_WAITING:]
         if not self.is_telling:
             self.is_telling = True
--- a/dunlinpoint/suspects/tests/test_many_entries.py
+++ b/dunlinpoint/suspects/tests/test_many_entries.py
@@ -1,8 +1,7 @@
-"""One request that ends endpoints, brought to many entries that tell each other.
+"""One request that crashes endpoints, sent to many entries that share their reports.
 
-Pattern: a caller brings it again and again, each time at another entry, within one
-attempt at up to two endpoints; what one entry saw reaches the others up to a second
-later, and half a minute of attempts is played.
+A caller retries it for half a minute, each time at another entry. One attempt reaches
+up to two endpoints, and an entry's reports reach the others up to a second later.
 """
 
 import random
@@ -17,14 +16,14 @@
 ENTRIES = 42
 LENGTH_MS = 30_000
 PAUSE_MS = (200, 4000)
-# Until an end is seen, and until another entry has heard of it.
+# Time until the entry detects a crash, and then until another entry has the report.
 SEEN_MS = 55
 HEARD_MS = (50, 1000)
 SECOND_TRY_MS = 20
 
 
 def play(seed, remembers, repeatable=True):
-    """How many endpoints one request ends."""
+    """The number of endpoints that one request crashes."""
     rng = random.Random(seed)
     entries = [registry.Registry() for _ in range(ENTRIES)]
     told, now, ends = [], 0.0, 0
@@ -49,8 +48,8 @@
 
 @pytest.mark.parametrize("repeatable", [True, False])
 def test_few_endpoints_end_whichever_entries_it_is_brought_to(repeatable):
-    # Grounds of the bounds: three ends convict; what is under way while the third is
-    # told may end two more, and no seed more than that.
+    # Three crashes convict. Attempts that run while the third is being reported may
+    # crash two more endpoints, for any seed.
     ends = [play(seed, True, repeatable) for seed in range(100)]
     blind = [play(seed, False, repeatable) for seed in range(100)]
     assert max(ends) <= registry.CONVICTED_AT + 2, ends
--- a/dunlinpoint/suspects/tests/test_registry.py
+++ b/dunlinpoint/suspects/tests/test_registry.py
@@ -1,9 +1,9 @@
-"""Which requests are held to end the endpoints that run them.
+"""Detection of requests that crash the endpoints that run them.
 
-Symptom: one request that a caller brings again and again takes down a group of ranks
-each time. Sequence: an endpoint ends when it begins to run it; its group stands for
-seconds; the caller comes back, at any entry, and the next endpoint ends. Cause: nothing
-is remembered of a request once its attempt is over.
+Guards against one request taking down a group of ranks again and again: an endpoint
+crashes when it begins to run the request, its group is stalled for seconds, the caller
+retries at any entry, and the next endpoint crashes, unless the crashes are recorded
+beyond the attempt.
 """
 
 import pytest
@@ -26,7 +26,7 @@
 
 
 def known(*lives, every_ms=2000):
-    """A register under whose guilty request *lives* ended, and the time then."""
+    """A register with crashes of *lives* under one request, and the last one's time."""
     found, now = registry.Registry(), 0
     for now in range(0, every_ms * len(lives), every_ms):
         found.apply_report(ended(lives[now // every_ms]), now)
@@ -47,9 +47,9 @@
 
 
 def test_a_rack_that_falls_convicts_nobody():
-    # Symptom feared: innocent requests refused for minutes after a rack fell. Sequence:
-    # a caller sends each request three times at once, and all three endpoints are in
-    # the rack. Cause: counting one event three times.
+    # Guards against harmless requests refused for minutes after a rack failed: a caller
+    # sends each request three times at once to endpoints that are all in the rack, and
+    # one event is counted three times.
     found = registry.Registry()
     for number, life in enumerate("abc"):
         found.apply_report(ended(life), 50 * number)
@@ -59,7 +59,7 @@
 
 
 def test_a_request_that_was_served_is_cleared():
-    # Pattern: a popular lookup is at work at every endpoint that ends.
+    # A frequent lookup is in flight at every endpoint that crashes.
     found, now = known("a", "b")
     found.apply_report(served(), now + 1)
     found.apply_report(ended("c"), now + 2)
@@ -100,8 +100,8 @@
 
 @pytest.mark.parametrize("revision", [registry.NO_REVISION, 1, 1 << 62])
 def test_a_follower_that_knows_another_life_of_the_control_is_told_all(revision):
-    # Symptom feared: entries that never hear what a control knows. Sequence: a control
-    # starts again, and its followers name a revision of before.
+    # Guards against entries that never get a control's reports: the control restarts,
+    # and its followers ask from a revision of the incarnation before.
     found, now = known("a", "b")
     heard = registry.Registry()
     for report in found.reports(revision, now):
@@ -110,8 +110,8 @@
 
 
 def test_the_same_request_of_another_caller_is_another_one():
-    # Symptom feared: a caller has another's requests refused by sending what ends
-    # endpoints in its name.
+    # Guards against a caller that has another's requests refused by sending the same
+    # request until it has crashed enough endpoints.
     asked = b"POST", b"/a/b", b"brand-a", b"body"
     assert digest.of_request(*asked) == digest.of_request(*asked)
     others = [
--- a/dunlinpoint/suspects/tests/test_sharing.py
+++ b/dunlinpoint/suspects/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""How reports on requests reach the controls."""
+"""Delivery of crash reports to the controls."""
 
 import attrs
 from twisted.internet import defer, task
@@ -10,7 +10,7 @@
 
 @attrs.define
 class Link:
-    """A control that takes reports, or is out of reach."""
+    """A control that accepts reports, or is unreachable."""
 
     reached: bool = True
     taken: list = attrs.field(factory=list)
@@ -56,8 +56,8 @@
 
 
 def test_reports_wait_for_a_control_and_keep_their_time():
-    # Sequence: an entry is cut off from all controls when an endpoint ends, and another
-    # ends before it reaches one again.
+    # No control is reachable from the entry when an endpoint crashes, and another
+    # endpoint crashes before one is reachable again.
     link = Link(reached=False)
     reactor, found = entry(link)
     found.publish([report("a")])
