--- a/dunlinpoint/routing/admission_control.py
+++ b/dunlinpoint/routing/admission_control.py
@@ -10,7 +10,7 @@
 Steps get long in two ways, which are distinguished by their duration:
 
 - Demand for experts jumps every few seconds, and a new expert map follows it within
-  half a second. Requests wait that long (:meth:`AdmissionController.has_room`).
+  half a second. Requests wait that long (:meth:`AdmissionController.admits`).
 - Longer steps make streams last longer, so there are more of them, and steps get longer
   still, until all slots are taken and streams queue at engines. The cause, a lost
   leader or a slow rank, may have ended ten seconds before; the group can no longer
@@ -32,57 +32,57 @@
 STALE_MS = 1000
 # Fractions of the longest allowed gap: full admission up to the first, no admission
 # from the second on.
-ALL_IN = 0.7
-NONE_IN = 0.9
+FULL_ADMISSION = 0.7
+NO_ADMISSION = 0.9
 # The long window of the mean gap. It is several times as long as a jump of demand, so
 # that a single jump causes no refusals.
-LASTING_MS = 3500
+LONG_WINDOW_MS = 3500
 # The short window. Refusals stop as soon as the mean over it is short: the cause of
 # long steps may end at once, as when a delayed expert map arrives.
-SHORT_MS = 400
-# Full and no admission, as ALL_IN and NONE_IN, for the mean over the windows.
-LASTING_ALL_IN = 0.55
-LASTING_NONE_IN = 0.85
+SHORT_WINDOW_MS = 400
+# As FULL_ADMISSION and NO_ADMISSION, for the mean over the windows.
+WINDOW_FULL_ADMISSION = 0.55
+WINDOW_NO_ADMISSION = 0.85
 # Without a gap over the allowed one for this long, all streams are within their target,
 # and none is refused.
-LATE_MS = 8000
+LONG_GAP_EXPIRY_MS = 8000
 # Factor of the admitted share for callers that retry, while the mean is long. They are
 # past their latency target anyway, and would take a slot in which another caller could
 # be served within its target.
-LASTING_RETURNED = 0.3
+WINDOW_RETRY_FACTOR = 0.3
 # Factor of the gaps as counted for callers that retry after a refusal: refused again,
 # most have no attempt left. A stronger preference keeps out more of the callers that
 # could still be served within their target.
-RETURNED_SHARE = 1 / 1.1
+RETRY_GAP_FACTOR = 1 / 1.1
 # An entry always admits this many streams: without any, it would not notice that the
 # group is fast again.
-LEAST_STREAMS = 2
+MIN_STREAMS = 2
 # A caller with less than this fraction of its timeout left is taken for a retry.
-FRESH_SHARE = 0.9
+FIRST_ATTEMPT_FRACTION = 0.9
 # Gaps over this many times the allowed one do not count: the group was stalled.
-STOOD = 4
+STALLED_GAP_FACTOR = 4
 
 
 def is_caller_retry(left_ms, timeout_ms):
     """Whether a caller with *left_ms* left of a route's *timeout_ms* is a retry."""
-    return left_ms < FRESH_SHARE * timeout_ms
+    return left_ms < FIRST_ATTEMPT_FRACTION * timeout_ms
 
 
-def share_between(part, all_in, none_in):
-    """1 up to *all_in*, 0 from *none_in* on, and linear between them."""
-    return min(1.0, max(0.0, (none_in - part) / (none_in - all_in)))
+def linear_share(ratio, full_at, none_at):
+    """1 up to *full_at*, 0 from *none_at* on, and linear between them."""
+    return min(1.0, max(0.0, (none_at - ratio) / (none_at - full_at)))
 
 
 @attrs.define
-class Mean:
-    """An exponential moving average with the time constant ``over_ms``."""
+class MovingAverage:
+    """An exponential moving average over unevenly spaced values."""
 
-    over_ms: int
+    time_constant_ms: int
     value: float = 0.0
 
     def add(self, value, elapsed_ms):
         """Add *value*, *elapsed_ms* after the previous one."""
-        weight = 1 - math.exp(-elapsed_ms / self.over_ms)
+        weight = 1 - math.exp(-elapsed_ms / self.time_constant_ms)
         self.value += weight * (value - self.value)
 
 
@@ -96,67 +96,76 @@
     last gap over the allowed.
     """
 
-    allowed_ms: int
+    max_gap_ms: int
     in_flight: int = 0
     recent: collections.deque = attrs.field(factory=collections.deque)
-    long_window: Mean = attrs.field(factory=lambda: Mean(LASTING_MS))
-    short: Mean = attrs.field(factory=lambda: Mean(SHORT_MS))
-    seen_ms: int | None = None
-    late_ms: int | None = None
-
-    def record_gap(self, pause_ms, now):
-        """Record an event of a stream, *pause_ms* after the one before it."""
-        if pause_ms > STOOD * self.allowed_ms:
+    long_window: MovingAverage = attrs.field(
+        factory=lambda: MovingAverage(LONG_WINDOW_MS)
+    )
+    short_window: MovingAverage = attrs.field(
+        factory=lambda: MovingAverage(SHORT_WINDOW_MS)
+    )
+    last_event_ms: int | None = None
+    last_long_gap_ms: int | None = None
+
+    def record_gap(self, gap_ms, now):
+        """Record an event of a stream, *gap_ms* after the one before it."""
+        if gap_ms > STALLED_GAP_FACTOR * self.max_gap_ms:
             return
         while self.recent and now - self.recent[0][0] > RECENT_MS:
             self.recent.popleft()
-        self.recent.append((now, pause_ms))
-        if pause_ms > self.allowed_ms:
-            self.late_ms = now
+        self.recent.append((now, gap_ms))
+        if gap_ms > self.max_gap_ms:
+            self.last_long_gap_ms = now
         if not self._is_known(now):
             # A group that opens has its longest steps before its first expert map. As
             # the mean, these would have all returning callers refused.
-            self.long_window.value = self.short.value = LASTING_ALL_IN * self.allowed_ms
+            self.long_window.value = self.short_window.value = (
+                WINDOW_FULL_ADMISSION * self.max_gap_ms
+            )
         else:
-            self.long_window.add(pause_ms, now - self.seen_ms)
-            self.short.add(pause_ms, now - self.seen_ms)
-        self.seen_ms = now
+            self.long_window.add(gap_ms, now - self.last_event_ms)
+            self.short_window.add(gap_ms, now - self.last_event_ms)
+        self.last_event_ms = now
 
     def _is_known(self, now):
-        return self.seen_ms is not None and now - self.seen_ms <= STALE_MS
+        return self.last_event_ms is not None and now - self.last_event_ms <= STALE_MS
 
     @property
     def median_gap_ms(self):
         """The median of the recent gaps (ms), or ``None`` before the first."""
         if not self.recent:
             return None
-        return statistics.median(pause for _, pause in self.recent)
+        return statistics.median(gap for _, gap in self.recent)
 
-    def admitted_share(self, now, returned=False):
-        """The admitted share (0 to 1) of first attempts, or of *returned* callers."""
-        if self.in_flight < LEAST_STREAMS or not self._is_known(now):
+    def admitted_share(self, now, is_retry=False):
+        """The admitted share (0 to 1) of first attempts, or of retries."""
+        if self.in_flight < MIN_STREAMS or not self._is_known(now):
             return 1.0
-        part = self.median_gap_ms / self.allowed_ms
-        if returned:
-            part *= RETURNED_SHARE
-        return share_between(part, ALL_IN, NONE_IN)
+        ratio = self.median_gap_ms / self.max_gap_ms
+        if is_retry:
+            ratio *= RETRY_GAP_FACTOR
+        return linear_share(ratio, FULL_ADMISSION, NO_ADMISSION)
 
-    def long_window_admitted_share(self, now, returned=False):
+    def long_window_admitted_share(self, now, is_retry=False):
         """The share (0 to 1) not to be refused at once, by the mean over the windows.
 
         It is 1 unless the means over both windows are long.
         """
-        if self.in_flight < LEAST_STREAMS or not self._is_known(now):
+        if self.in_flight < MIN_STREAMS or not self._is_known(now):
             return 1.0
-        if self.late_ms is None or now - self.late_ms > LATE_MS:
+        if (
+            self.last_long_gap_ms is None
+            or now - self.last_long_gap_ms > LONG_GAP_EXPIRY_MS
+        ):
             return 1.0
-        part = min(self.long_window.value, self.short.value) / self.allowed_ms
-        share = share_between(part, LASTING_ALL_IN, LASTING_NONE_IN)
-        return share * LASTING_RETURNED if returned and share < 1 else share
+        ratio = min(self.long_window.value, self.short_window.value) / self.max_gap_ms
+        share = linear_share(ratio, WINDOW_FULL_ADMISSION, WINDOW_NO_ADMISSION)
+        return share * WINDOW_RETRY_FACTOR if is_retry and share < 1 else share
 
-    def has_room(self, now, rng, returned=False):
+    def admits(self, now, rng, is_retry=False):
         """Whether to admit one more stream, drawn at random by the admitted share."""
-        return rng.random() < self.admitted_share(now, returned)
+        return rng.random() < self.admitted_share(now, is_retry)
 
     def began(self):
         """Count one more stream in flight."""
--- a/dunlinpoint/routing/endpoint_order.py
+++ b/dunlinpoint/routing/endpoint_order.py
@@ -15,26 +15,26 @@
 import collections
 
 
-def rotated(members, place, places):
-    """*members* rotated by the fraction *place* / *places* of their number."""
-    if not members or places < 1:
+def rotated(members, index, entry_count):
+    """*members* rotated by the fraction *index* / *entry_count* of their number."""
+    if not members or entry_count < 1:
         return list(members)
-    start = place * len(members) // places % len(members)
+    start = index * len(members) // entry_count % len(members)
     return members[start:] + members[:start]
 
 
-def preferred_order(members, zone, place, places):
+def preferred_order(members, zone, index, entry_count):
     """*members* (in the same order at all entries) as one entry prefers them.
 
-    *place* is the entry's index among the *places* entries in *zone*. The own zone
-    comes first. Each zone's endpoints are rotated separately: rotated all together,
-    the entries of a zone began at endpoints close to each other.
+    *index* is the entry's index among the *entry_count* entries in *zone*. The own
+    zone comes first. Each zone's endpoints are rotated separately: rotated all
+    together, the entries of a zone began at endpoints close to each other.
     """
     by_zone = {}
     for member in members:
         by_zone.setdefault(member.zone, []).append(member)
     zones = sorted(by_zone, key=lambda name: (name != zone, name))
-    return [m for name in zones for m in rotated(by_zone[name], place, places)]
+    return [m for name in zones for m in rotated(by_zone[name], index, entry_count)]
 
 
 def is_evenly_distributed(members, zone):
@@ -43,7 +43,7 @@
     return zone in sizes and len(set(sizes.values())) == 1
 
 
-def preferred_order_in_group(members, zone, place, places):
+def preferred_order_in_group(members, zone, index, entry_count):
     """*members* of one group of ranks as an entry prefers them.
 
     If the group is distributed evenly over its zones, this is the order of
@@ -53,7 +53,7 @@
     and the most loaded rank determines the speed of all.
     """
     if is_evenly_distributed(members, zone):
-        return preferred_order(members, zone, place, places)
+        return preferred_order(members, zone, index, entry_count)
     zones = sorted({member.zone for member in members} | {zone})
-    place = place * len(zones) + zones.index(zone)
-    return rotated(members, place, len(zones) * places)
+    index = index * len(zones) + zones.index(zone)
+    return rotated(members, index, len(zones) * entry_count)
--- a/dunlinpoint/routing/endpoint_signals.py
+++ b/dunlinpoint/routing/endpoint_signals.py
@@ -21,7 +21,7 @@
 
 # How long signals are kept after the last response of an endpoint that is no longer a
 # member: a network partition may remove it from the list and bring it back.
-MEMORY_MS = 120_000
+RETENTION_MS = 120_000
 
 
 @attrs.frozen
@@ -52,104 +52,112 @@
 
 
 @attrs.define
-class Said:
+class SignalState:
     """The signals in force of one incarnation, and the time of its last response."""
 
-    heard_ms: int = 0
-    rate: rate.Rate | None = None
-    rests_until_ms: int = 0
+    last_seen_ms: int = 0
+    limiter: rate.Limiter | None = None
+    backoff_until_ms: int = 0
     is_draining: bool = False
 
     def available_ms(self, now):
         """When (ms) this entry may send its next request; infinite if never."""
         if self.is_draining:
             return math.inf
-        available_ms = now if self.rate is None else self.rate.available_ms(now)
-        return max(available_ms, self.rests_until_ms)
+        available_ms = now if self.limiter is None else self.limiter.available_ms(now)
+        return max(available_ms, self.backoff_until_ms)
 
 
 @attrs.define
 class Signals:
     """The signals in force, by the incarnation of those endpoints that sent any.
 
-    ``place`` is the index (from 0) of this entry among the ``places`` entries.
+    ``index`` is the index (from 0) of this entry among the ``entry_count`` entries.
     """
 
-    place: int = 0
-    places: int = 1
+    index: int = 0
+    entry_count: int = 1
     rng: random.Random = attrs.field(factory=random.Random)
-    said_by_life: dict = attrs.field(factory=dict)
+    state_by_incarnation: dict = attrs.field(factory=dict)
 
-    def update(self, place, places, now):
+    def update(self, index, entry_count, now):
         """Set the index of this entry and the number of entries."""
-        if (place, places) == (self.place, self.places) or places < 1:
+        if (index, entry_count) == (self.index, self.entry_count) or entry_count < 1:
             return
-        self.place, self.places = place, places
-        for life, said in self.said_by_life.items():
-            if said.rate is not None:
-                said.rate.change(self._part(said.rate.per_s, life), now)
-
-    def apply(self, life, notice, sent_ms, now):
-        """Apply the *notice* of an answer to a request sent at *sent_ms*."""
-        said = self.said_by_life.get(life)
-        if said is None:
-            if notice == NO_SIGNAL:
+        self.index, self.entry_count = index, entry_count
+        for incarnation, state in self.state_by_incarnation.items():
+            if state.limiter is not None:
+                state.limiter.set_share(
+                    self._share(state.limiter.per_s, incarnation), now
+                )
+
+    def apply(self, incarnation, signal, sent_ms, now):
+        """Apply the *signal* of an answer to a request sent at *sent_ms*."""
+        state = self.state_by_incarnation.get(incarnation)
+        if state is None:
+            if signal == NO_SIGNAL:
                 return
-            said = self.said_by_life[life] = Said()
-        said.heard_ms = now
-        if notice.backoff_ms is not None:
-            self._take_rest(life, said, notice.backoff_ms, now)
-        self._take_limit(life, said, notice, sent_ms, now)
-        if notice.is_draining and not said.is_draining:
-            said.is_draining = True
-            log.info("endpoint_leaves", endpoint_id=life)
-
-    def _take_rest(self, life, said, backoff_ms, now):
-        said.rests_until_ms = max(said.rests_until_ms, now + backoff_ms)
-        log.info("endpoint_rests", endpoint_id=life, rest_ms=backoff_ms)
-
-    def _take_limit(self, life, said, notice, sent_ms, now):
-        known, per_s = said.rate, notice.limit_per_s
+            state = self.state_by_incarnation[incarnation] = SignalState()
+        state.last_seen_ms = now
+        if signal.backoff_ms is not None:
+            self._apply_backoff(incarnation, state, signal.backoff_ms, now)
+        self._apply_limit(incarnation, state, signal, sent_ms, now)
+        if signal.is_draining and not state.is_draining:
+            state.is_draining = True
+            log.info("endpoint_leaves", endpoint_id=incarnation)
+
+    def _apply_backoff(self, incarnation, state, backoff_ms, now):
+        state.backoff_until_ms = max(state.backoff_until_ms, now + backoff_ms)
+        log.info("endpoint_rests", endpoint_id=incarnation, rest_ms=backoff_ms)
+
+    def _apply_limit(self, incarnation, state, signal, sent_ms, now):
+        known, per_s = state.limiter, signal.limit_per_s
         if per_s is None:
             # Answers overtake each other: one to a request sent before the limit was
             # signalled does not end the limit.
-            if known is None or sent_ms <= known.named_ms or not notice.is_complete:
+            if (
+                known is None
+                or sent_ms <= known.last_signal_ms
+                or not signal.is_complete
+            ):
                 return
-            said.rate = None
+            state.limiter = None
         elif known is None:
-            part = self._part(per_s, life)
-            said.rate = rate.Rate.begin(per_s, now, part, self.rng)
+            share = self._share(per_s, incarnation)
+            state.limiter = rate.Limiter.begin(per_s, now, share, self.rng)
         else:
-            known.named_ms = now
+            known.last_signal_ms = now
             if known.per_s == per_s:
                 return
             known.per_s = per_s
-            known.change(self._part(per_s, life), now)
+            known.set_share(self._share(per_s, incarnation), now)
         log.info(
             "endpoint_limit",
-            endpoint_id=life,
+            endpoint_id=incarnation,
             limit_per_s=per_s,
-            apart_ms=None if per_s is None else round(said.rate.part.pause_ms),
-            entries=self.places,
+            apart_ms=None if per_s is None else round(state.limiter.share.interval_ms),
+            entries=self.entry_count,
         )
 
-    def _part(self, per_s, life):
-        return rate.Part.of(per_s, life, self.place, self.places)
+    def _share(self, per_s, incarnation):
+        return rate.Share.of(per_s, incarnation, self.index, self.entry_count)
 
-    def available_ms(self, life, now):
+    def available_ms(self, incarnation, now):
         """When (ms) the endpoint may get the next request; infinite if never."""
-        said = self.said_by_life.get(life)
-        return now if said is None else said.available_ms(now)
+        state = self.state_by_incarnation.get(incarnation)
+        return now if state is None else state.available_ms(now)
 
-    def sent(self, life, now):
+    def sent(self, incarnation, now):
         """Record that a request is sent to the endpoint."""
-        said = self.said_by_life.get(life)
-        if said is not None and said.rate is not None:
-            said.rate.sent(now)
+        state = self.state_by_incarnation.get(incarnation)
+        if state is not None and state.limiter is not None:
+            state.limiter.sent(now)
 
     def forget(self, live, now):
-        """Drop signals of incarnations not among *live* after ``MEMORY_MS``."""
-        for life, said in list(self.said_by_life.items()):
-            known_until_ms = max(said.heard_ms + MEMORY_MS, said.rests_until_ms)
-            if life not in live and now > known_until_ms:
-                del self.said_by_life[life]
+        """Drop signals of incarnations not among *live* after ``RETENTION_MS``."""
+        for incarnation, state in list(self.state_by_incarnation.items()):
+            known_until_ms = max(
+                state.last_seen_ms + RETENTION_MS, state.backoff_until_ms
+            )
+            if incarnation not in live and now > known_until_ms:
+                del self.state_by_incarnation[incarnation]
--- a/dunlinpoint/routing/groups.py
+++ b/dunlinpoint/routing/groups.py
@@ -4,9 +4,9 @@
 stream depends on its group, not on its endpoint. An entry has at most one request
 at each of dozens of endpoints, which does not show the load of their group. When
 entries preferred endpoints of their own zone, callers of an overloaded zone shared
-one slow group (their requests were served at 0.47 of their value) while another zone's
-group was half empty (0.90). The inter-event gaps show the load of a group without
-any message.
+one slow group (0.47 of the value of their requests was served) while another zone's
+group was half empty (0.90). The inter-event gaps show the load of a group without any
+message.
 
 An entry keeps a share for each group. A share grows while the group's gaps are
 shorter than the mean, and shrinks while they are longer. The adjustments are small:
@@ -22,30 +22,30 @@
 # Interval of the adjustments, and the power of the ratio of gaps by which a share
 # changes. A group with steps twice as long loses a sixth of its share in each
 # adjustment, and half of it in the second or so that a stream lasts.
-TURN_MS = 250
-GAIN = 0.25
+ADJUST_INTERVAL_MS = 250
+SHARE_EXPONENT = 0.25
 # Weight of the newest gap in a group's moving average. One step gives an entry an
 # event of each of a few streams.
-NEWEST = 0.1
+AVERAGE_WEIGHT = 0.1
 # After this time without an event, the gap of a group is unknown.
-UNSEEN_MS = 2000
+GAP_EXPIRY_MS = 2000
 # Minimum share of a group: without any streams, an entry would not notice that the
 # group has become fast again.
-LEAST_SHARE = 0.04
+MIN_SHARE = 0.04
 # Part of the initial shares that follows the entry's own zone. The rest follows the
 # groups' sizes.
-HOME_PART = 0.5
-# While all gaps are below the fraction CALM of the longest allowed gap, each
-# adjustment moves the shares by the fraction BACK towards the own zone's groups.
-CALM = 0.55
-BACK = 0.02
+OWN_ZONE_FRACTION = 0.5
+# While all gaps are below the first fraction of the longest allowed gap, each
+# adjustment moves the shares by the second towards the own zone's groups.
+FAST_GAP_FRACTION = 0.55
+RETURN_FRACTION = 0.02
 
 
 @attrs.define
-class Seen:
+class MeanGap:
     """Moving average of a group's inter-event gaps, and the time of the last one."""
 
-    pause_ms: float
+    gap_ms: float
     at_ms: int
 
 
@@ -53,29 +53,29 @@
 class Groups:
     """Shares, inter-event gaps and admission of one service's groups of ranks.
 
-    ``allowed_ms`` is the longest allowed inter-event gap, and ``slots`` this entry's
+    ``max_gap_ms`` is the longest allowed inter-event gap, and ``slots`` this entry's
     portion of the slots of all groups.
     """
 
-    allowed_ms: int
+    max_gap_ms: int
     share_by_group: dict = attrs.field(factory=dict)
-    home_by_group: dict = attrs.field(factory=dict)
-    seen_by_group: dict = attrs.field(factory=dict)
-    pace_by_group: dict = attrs.field(factory=dict)
+    own_zone_share_by_group: dict = attrs.field(factory=dict)
+    mean_gap_by_group: dict = attrs.field(factory=dict)
+    controller_by_group: dict = attrs.field(factory=dict)
     slots: float = 0.0
     queue: latency.Queue = attrs.field(factory=latency.Queue)
-    turn_ms: int = 0
+    adjusted_ms: int = 0
 
     def controller(self, group):
         """The ``AdmissionController`` of *group*, created on first use."""
-        found = self.pace_by_group.get(group)
+        found = self.controller_by_group.get(group)
         if found is None:
-            found = self.pace_by_group[group] = admission_control.AdmissionController(
-                self.allowed_ms
+            found = self.controller_by_group[group] = (
+                admission_control.AdmissionController(self.max_gap_ms)
             )
         return found
 
-    def update(self, sizes, sizes_here, slots):
+    def update(self, sizes, own_zone_sizes, slots):
         """Set the number of endpoints by group: in all zones, and in this zone.
 
         *slots* is this entry's portion of the slots of all of them.
@@ -83,29 +83,36 @@
         self.slots = slots
         if set(sizes) == set(self.share_by_group):
             return
-        total, here = sum(sizes.values()), sum(sizes_here.values())
+        total, own_zone_total = sum(sizes.values()), sum(own_zone_sizes.values())
         for group, size in sizes.items():
-            even = size / total
-            home = sizes_here.get(group, 0) / here if here else even
-            self.home_by_group[group] = home
-            first = HOME_PART * home + (1 - HOME_PART) * even
-            self.share_by_group.setdefault(group, first)
+            size_share = size / total
+            own_zone_share = (
+                own_zone_sizes.get(group, 0) / own_zone_total
+                if own_zone_total
+                else size_share
+            )
+            self.own_zone_share_by_group[group] = own_zone_share
+            initial_share = (
+                OWN_ZONE_FRACTION * own_zone_share
+                + (1 - OWN_ZONE_FRACTION) * size_share
+            )
+            self.share_by_group.setdefault(group, initial_share)
         for by_group in (
             self.share_by_group,
-            self.home_by_group,
-            self.seen_by_group,
-            self.pace_by_group,
+            self.own_zone_share_by_group,
+            self.mean_gap_by_group,
+            self.controller_by_group,
         ):
             for group in [g for g in by_group if g not in sizes]:
                 del by_group[group]
         self._normalise()
 
-    def not_overloaded(self, usable, now, returned, draw):
+    def not_overloaded(self, usable, now, is_retry, draw):
         """The groups of *usable* that do not shed a caller with *draw* (0 to 1)."""
         return [
             group
             for group in usable
-            if draw < self.controller(group).long_window_admitted_share(now, returned)
+            if draw < self.controller(group).long_window_admitted_share(now, is_retry)
         ]
 
     def free_slots(self, usable):
@@ -115,20 +122,22 @@
         """
         spare = {
             group: int(
-                latency.SLOTS_SHARE * self.slots * self.share_by_group.get(group, 0)
+                latency.LATE_SLOTS_FRACTION
+                * self.slots
+                * self.share_by_group.get(group, 0)
                 - self.controller(group).in_flight
             )
             for group in usable
         }
         return {group: count for group, count in spare.items() if count > 0}
 
-    def choose(self, usable, now, returned, rng):
+    def choose(self, usable, now, is_retry, rng):
         """A group of *usable* that admits the stream, drawn by share, or ``None``."""
-        open_to = [g for g in usable if self.controller(g).has_room(now, rng, returned)]
-        if len(open_to) < 2:
-            return open_to[0] if open_to else None
-        weights = [self.share_by_group.get(g, LEAST_SHARE) for g in open_to]
-        return rng.choices(open_to, weights)[0]
+        admitting = [g for g in usable if self.controller(g).admits(now, rng, is_retry)]
+        if len(admitting) < 2:
+            return admitting[0] if admitting else None
+        weights = [self.share_by_group.get(g, MIN_SHARE) for g in admitting]
+        return rng.choices(admitting, weights)[0]
 
     def stream_ended(self, group):
         """Record that a stream of *group* has ended.
@@ -137,41 +146,45 @@
         ``AdmissionController``, its streams would make the number in flight negative,
         and too many streams would be admitted once the group is back.
         """
-        if group in self.pace_by_group:
-            self.pace_by_group[group].ended()
-
-    def record_gap(self, group, pause_ms, now):
-        """Record an event of a stream of *group*, *pause_ms* after the one before."""
-        self.controller(group).record_gap(pause_ms, now)
-        if pause_ms <= admission_control.STOOD * self.allowed_ms:
-            seen = self.seen_by_group.get(group)
-            if seen is None or now - seen.at_ms > UNSEEN_MS:
-                self.seen_by_group[group] = Seen(pause_ms, now)
+        if group in self.controller_by_group:
+            self.controller_by_group[group].ended()
+
+    def record_gap(self, group, gap_ms, now):
+        """Record an event of a stream of *group*, *gap_ms* after the one before."""
+        self.controller(group).record_gap(gap_ms, now)
+        if gap_ms <= admission_control.STALLED_GAP_FACTOR * self.max_gap_ms:
+            mean_gap = self.mean_gap_by_group.get(group)
+            if mean_gap is None or now - mean_gap.at_ms > GAP_EXPIRY_MS:
+                self.mean_gap_by_group[group] = MeanGap(gap_ms, now)
             else:
-                seen.pause_ms += NEWEST * (pause_ms - seen.pause_ms)
-                seen.at_ms = now
-        if now - self.turn_ms >= TURN_MS:
-            self.turn_ms = now
-            self._turn(now)
-
-    def _turn(self, now):
-        pauses = {
-            group: seen.pause_ms
-            for group, seen in self.seen_by_group.items()
-            if now - seen.at_ms <= UNSEEN_MS and group in self.share_by_group
+                mean_gap.gap_ms += AVERAGE_WEIGHT * (gap_ms - mean_gap.gap_ms)
+                mean_gap.at_ms = now
+        if now - self.adjusted_ms >= ADJUST_INTERVAL_MS:
+            self.adjusted_ms = now
+            self._adjust_shares(now)
+
+    def _adjust_shares(self, now):
+        gaps = {
+            group: mean_gap.gap_ms
+            for group, mean_gap in self.mean_gap_by_group.items()
+            if now - mean_gap.at_ms <= GAP_EXPIRY_MS and group in self.share_by_group
         }
-        if len(pauses) > 1:
-            weight = sum(self.share_by_group[g] for g in pauses)
-            mean = sum(self.share_by_group[g] * p for g, p in pauses.items()) / weight
-            for group, pause_ms in pauses.items():
-                self.share_by_group[group] *= (mean / max(1, pause_ms)) ** GAIN
-        if all(pause_ms < CALM * self.allowed_ms for pause_ms in pauses.values()):
+        if len(gaps) > 1:
+            weight = sum(self.share_by_group[g] for g in gaps)
+            mean = sum(self.share_by_group[g] * p for g, p in gaps.items()) / weight
+            for group, gap_ms in gaps.items():
+                self.share_by_group[group] *= (mean / max(1, gap_ms)) ** SHARE_EXPONENT
+        if all(
+            gap_ms < FAST_GAP_FRACTION * self.max_gap_ms for gap_ms in gaps.values()
+        ):
             for group, share in self.share_by_group.items():
-                home = self.home_by_group[group]
-                self.share_by_group[group] = share + BACK * (home - share)
+                own_zone_share = self.own_zone_share_by_group[group]
+                self.share_by_group[group] = share + RETURN_FRACTION * (
+                    own_zone_share - share
+                )
         self._normalise()
 
     def _normalise(self):
         total = sum(self.share_by_group.values())
         for group, share in self.share_by_group.items():
-            self.share_by_group[group] = max(LEAST_SHARE, share / total)
+            self.share_by_group[group] = max(MIN_SHARE, share / total)
--- a/dunlinpoint/routing/latency.py
+++ b/dunlinpoint/routing/latency.py
@@ -16,26 +16,26 @@
 from dunlinpoint.routing import pick
 
 # The fraction of this entry's slots that callers past their target may fill.
-SLOTS_SHARE = 1.1
+LATE_SLOTS_FRACTION = 1.1
 
 
-def is_past_latency_target(left_ms, timeout_ms, aim_ms):
-    """Whether a caller with *left_ms* of a route's *timeout_ms* is past *aim_ms*.
+def is_past_latency_target(left_ms, timeout_ms, latency_target_ms):
+    """Whether a caller with *left_ms* of a route's *timeout_ms* is past its target.
 
-    A route without a latency target (0) has no such callers.
+    No caller is past the latency target of a route without one (0).
     """
-    return aim_ms > 0 and timeout_ms - left_ms > aim_ms
+    return latency_target_ms > 0 and timeout_ms - left_ms > latency_target_ms
 
 
-def entry_slots(members, zone, places):
-    """The portion of *members*' slots for each of the *places* entries of *zone*.
+def entry_slots(members, zone, entry_count):
+    """The portion of *members*' slots for each of the *entry_count* entries of *zone*.
 
     A zone without endpoints gets its portion of the slots of all zones.
     """
-    near = [m for m in members if m.zone == zone]
-    zones = 1 if near else len({m.zone for m in members})
-    slots = sum(m.slots or pick.DEFAULT_SLOTS for m in near or members)
-    return slots / (max(1, places) * max(1, zones))
+    own_zone = [m for m in members if m.zone == zone]
+    zones = 1 if own_zone else len({m.zone for m in members})
+    slots = sum(m.slots or pick.DEFAULT_SLOTS for m in own_zone or members)
+    return slots / (max(1, entry_count) * max(1, zones))
 
 
 @attrs.define
@@ -54,9 +54,9 @@
 
     def leave(self, turn):
         """Remove the caller with *turn*, if it is queued."""
-        place = self.ahead_of(turn)
-        if self.turns[place : place + 1] == [turn]:
-            del self.turns[place]
+        index = self.ahead_of(turn)
+        if self.turns[index : index + 1] == [turn]:
+            del self.turns[index]
 
     def ahead_of(self, turn):
         """The number of queued callers ahead of the one with *turn*."""
--- a/dunlinpoint/routing/outage.py
+++ b/dunlinpoint/routing/outage.py
@@ -18,41 +18,42 @@
 
 # Interval of the probes of a suspected group. One probe shows within one stall whether
 # the group has recovered; more of them would only wait as well.
-PROBE_MS = 500
+PROBE_INTERVAL_MS = 500
 # The usual minimum time until a broken group opens: its ranks wait for the lost one
 # for 1.5 s, that one takes a second or more to restart, and forming the group again
 # takes 0.6 s.
-LEAST_OUTAGE_MS = 2500
+MIN_OUTAGE_MS = 2500
 # How long after a group has opened there may be callers that waited for it: the
 # timeout of callers of streams.
 BACKLOG_DRAIN_MS = 8000
 # Callers of streams give up after the longest of these without an event: a minimum,
 # this many times the latency target of the first event, and this many times the
 # allowed inter-event gap.
-LEAST_PATIENCE_MS = 2000
-PATIENCE_AIMS = 4
-PATIENCE_PAUSES = 8
+MIN_EVENT_TIMEOUT_MS = 2000
+EVENT_TIMEOUT_TARGETS = 4
+EVENT_TIMEOUT_GAPS = 8
 # Time reserved, out of that wait, for the first event after the group has opened.
 FIRST_EVENT_RESERVE_MS = 250
 # Most answers are complete within this time. A caller with less time left is not kept
 # waiting, and is not admitted after an outage to a slot that another could use.
 TYPICAL_ANSWER_MS = 1500
 # A caller obeys a Retry-After of up to a third of its time left.
-RETRY_AFTER_SHARE = 0.33
+MAX_RETRY_AFTER_FRACTION = 0.33
 # Jitter of Retry-After, as a fraction of it: callers whose streams broke at the same
 # moment must not return at the same moment.
-SPREAD = 0.05
+RETRY_AFTER_JITTER = 0.05
 
 
 @attrs.define
 class Suspicion:
     """The suspicion that a group is broken, from a refusal by one of its endpoints.
 
-    ``outage_start_ms`` is when it began, ``probe_ms`` when the next probe may be sent.
+    ``outage_start_ms`` is when it began, ``next_probe_ms`` when the next probe may be
+    sent.
     """
 
     outage_start_ms: int
-    probe_ms: int
+    next_probe_ms: int
 
 
 def address_of(member):
@@ -114,7 +115,7 @@
         if group is None:
             return False
         if group not in self.suspicion_by_group:
-            self.suspicion_by_group[group] = Suspicion(now, now + PROBE_MS)
+            self.suspicion_by_group[group] = Suspicion(now, now + PROBE_INTERVAL_MS)
         return True
 
     def data_received(self, member):
@@ -131,14 +132,14 @@
         if group in self.broken_since_by_group:
             return True
         suspicion = self.suspicion_by_group.get(group)
-        return suspicion is not None and now < suspicion.probe_ms
+        return suspicion is not None and now < suspicion.next_probe_ms
 
     def probe(self, member, now):
         """Record a request to *member*, which is a probe if its group is suspected."""
         group = self.group_by_address.get(address_of(member))
         suspicion = self.suspicion_by_group.get(group)
         if suspicion is not None:
-            suspicion.probe_ms = now + PROBE_MS
+            suspicion.next_probe_ms = now + PROBE_INTERVAL_MS
 
     def opened_recently(self, group, now):
         """Whether there may still be callers that waited for *group* to open."""
@@ -156,22 +157,25 @@
         return max(starts, default=now)
 
 
-def event_timeout_ms(aim_ms, pause_ms):
+def event_timeout_ms(latency_target_ms, max_gap_ms):
     """How long (ms) a caller of a stream waits for the next event, at least.
 
-    *aim_ms* is the latency target of the first event, *pause_ms* the allowed
+    *latency_target_ms* is that of the first event, *max_gap_ms* the longest allowed
     inter-event gap.
     """
-    aims, pauses = PATIENCE_AIMS * aim_ms, PATIENCE_PAUSES * pause_ms
-    return max(LEAST_PATIENCE_MS, aims, pauses)
+    by_target, by_gap = (
+        EVENT_TIMEOUT_TARGETS * latency_target_ms,
+        EVENT_TIMEOUT_GAPS * max_gap_ms,
+    )
+    return max(MIN_EVENT_TIMEOUT_MS, by_target, by_gap)
 
 
 def max_retry_after_ms(left_ms):
     """The longest Retry-After (ms) that a caller with *left_ms* left obeys."""
-    return max(0, left_ms) * RETRY_AFTER_SHARE
+    return max(0, left_ms) * MAX_RETRY_AFTER_FRACTION
 
 
-def outage_retry_after_ms(since_ms, now, left_ms, rng):
+def outage_retry_after_ms(outage_start_ms, now, left_ms, rng):
     """The Retry-After (ms) of a caller refused during an outage.
 
     The outage began at *outage_start_ms*, and the caller has *left_ms* of its timeout
@@ -180,5 +184,7 @@
     An outage is expected to last about as long again as it has lasted. A caller that
     returns too soon is refused again and may have no attempt left.
     """
-    wanted = max(LEAST_OUTAGE_MS, now - since_ms)
-    return min(wanted, max_retry_after_ms(left_ms)) * (1 - SPREAD * rng.random())
+    outage_ms = max(MIN_OUTAGE_MS, now - outage_start_ms)
+    return min(outage_ms, max_retry_after_ms(left_ms)) * (
+        1 - RETRY_AFTER_JITTER * rng.random()
+    )
--- a/dunlinpoint/routing/pick.py
+++ b/dunlinpoint/routing/pick.py
@@ -2,9 +2,9 @@
 
 The least loaded endpoint is picked. Its load is the number of this entry's requests
 in flight there, or the load that the endpoint last reported if that is more, divided
-by its slots. An endpoint in another zone counts as if it had :data:`AWAY_REQUESTS`
-more. Of two with the same load, the first in the entry's own order
-(:mod:`endpoint_order`) is picked.
+by its slots. An endpoint in another zone counts as if it had
+:data:`OTHER_ZONE_REQUESTS` more. Of two with the same load, the first in the entry's
+own order (:mod:`endpoint_order`) is picked.
 
 An endpoint that failed a request is avoided for a time that doubles with each
 consecutive failure. This goes by the outcome of requests, because health reports lag
@@ -24,7 +24,7 @@
 
 # Handicap, in requests, of endpoints in other zones: the way there costs a millisecond
 # or two, a queue far more.
-AWAY_REQUESTS = 1.0
+OTHER_ZONE_REQUESTS = 1.0
 # Weight, in requests, of the position in the entry's order. Below one request, it only
 # decides between endpoints of the same load.
 ORDER_REQUESTS = 0.9
@@ -32,9 +32,9 @@
 AVOID_MAX_MS = 5000
 DEFAULT_SLOTS = 4
 # An endpoint with requests in flight that has sent nothing for this long, while
-# another of its service has within OTHERS_MS, is unresponsive.
+# another of its service has within RESPONSIVE_MS, is unresponsive.
 UNRESPONSIVE_MS = 1000
-OTHERS_MS = 200
+RESPONSIVE_MS = 200
 
 
 def incarnation_key(member):
@@ -59,7 +59,7 @@
     in_flight: int = 0
     failures: int = 0
     avoid_until_ms: int = 0
-    heard_ms: int = 0
+    last_seen_ms: int = 0
 
 
 @attrs.define
@@ -67,26 +67,26 @@
     """Picks endpoints for an entry in ``zone``; records are kept by incarnation."""
 
     zone: str
-    record_by_life: dict = attrs.field(factory=dict)
+    record_by_incarnation: dict = attrs.field(factory=dict)
     signals: endpoint_signals.Signals = attrs.field(factory=endpoint_signals.Signals)
 
-    def record(self, name):
-        """The record of the incarnation *name*, created on first use."""
-        record = self.record_by_life.get(name)
+    def record(self, key):
+        """The record of the incarnation *key*, created on first use."""
+        record = self.record_by_incarnation.get(key)
         if record is None:
-            record = self.record_by_life[name] = Record()
+            record = self.record_by_incarnation[key] = Record()
         return record
 
     def forget(self, live):
         """Drop idle records of incarnations that are not among *live*."""
-        for name, record in list(self.record_by_life.items()):
-            if name not in live and not record.in_flight:
-                del self.record_by_life[name]
+        for key, record in list(self.record_by_incarnation.items()):
+            if key not in live and not record.in_flight:
+                del self.record_by_incarnation[key]
 
-    def pick(self, members, now, exclude=(), near=True):
+    def pick(self, members, now, exclude=(), prefer_own_zone=True):
         """The endpoint of *members* (in the entry's order) to try, or ``None``.
 
-        With *near*, those of the entry's own zone are preferred.
+        With *prefer_own_zone*, endpoints in other zones have a handicap.
 
         Endpoints whose incarnations are in *exclude* are skipped, as they were tried
         already. Avoided ones are picked only when there is no other: an endpoint that
@@ -94,46 +94,48 @@
         now is never picked.
         """
         best, least = None, None
-        spared, soonest = None, None
-        for place, member in enumerate(members):
-            name = incarnation_key(member)
-            if name in exclude or self.signals.available_ms(name, now) > now:
+        fallback, fallback_until_ms = None, None
+        for index, member in enumerate(members):
+            key = incarnation_key(member)
+            if key in exclude or self.signals.available_ms(key, now) > now:
                 continue
-            record = self.record(name)
+            record = self.record(key)
             if record.avoid_until_ms > now:
-                if spared is None or record.avoid_until_ms < soonest:
-                    spared, soonest = member, record.avoid_until_ms
+                if fallback is None or record.avoid_until_ms < fallback_until_ms:
+                    fallback, fallback_until_ms = member, record.avoid_until_ms
                 continue
-            weight = self._weight(member, record, place / len(members), near)
-            if best is None or weight < least:
-                best, least = member, weight
-        return spared if best is None else best
+            load = self._relative_load(
+                member, record, index / len(members), prefer_own_zone
+            )
+            if best is None or load < least:
+                best, least = member, load
+        return fallback if best is None else best
 
     def available_ms(self, members, now, exclude=()):
         """When (ms) the first of *members* may get a request, ``None`` if none may."""
-        names = [name for name in map(incarnation_key, members) if name not in exclude]
-        times = [self.signals.available_ms(name, now) for name in names]
+        keys = [key for key in map(incarnation_key, members) if key not in exclude]
+        times = [self.signals.available_ms(key, now) for key in keys]
         return min((at for at in times if at != math.inf), default=None)
 
-    def _weight(self, member, record, order, near):
+    def _relative_load(self, member, record, position, prefer_own_zone):
         requests = max(record.in_flight, member.load or 0)
-        if near and member.zone != self.zone:
-            requests += AWAY_REQUESTS
-        return (requests + ORDER_REQUESTS * order) / (member.slots or DEFAULT_SLOTS)
+        if prefer_own_zone and member.zone != self.zone:
+            requests += OTHER_ZONE_REQUESTS
+        return (requests + ORDER_REQUESTS * position) / (member.slots or DEFAULT_SLOTS)
 
-    def began(self, name):
+    def began(self, key):
         """Count one more request in flight at the endpoint."""
-        self.record(name).in_flight += 1
+        self.record(key).in_flight += 1
 
-    def ended(self, name):
+    def ended(self, key):
         """Count one request in flight at the endpoint less."""
-        self.record(name).in_flight -= 1
+        self.record(key).in_flight -= 1
 
-    def data_received(self, name, now):
+    def data_received(self, key, now):
         """Record that bytes of an answer came from the endpoint."""
-        self.record(name).heard_ms = now
+        self.record(key).last_seen_ms = now
 
-    def is_unresponsive(self, name, members, now):
+    def is_unresponsive(self, key, members, now):
         """Whether the endpoint is unresponsive while another of *members* is not.
 
         A frozen or unreachable machine closes no connection, and its requests would
@@ -141,20 +143,20 @@
         nothing while others do is not just busy. Where none sends anything, the group
         is stalled, and another attempt would wait as well.
         """
-        if now - self.record(name).heard_ms < UNRESPONSIVE_MS:
+        if now - self.record(key).last_seen_ms < UNRESPONSIVE_MS:
             return False
-        others = (other for other in map(incarnation_key, members) if other != name)
-        return any(now - self.record(o).heard_ms < OTHERS_MS for o in others)
+        others = (other for other in map(incarnation_key, members) if other != key)
+        return any(now - self.record(o).last_seen_ms < RESPONSIVE_MS for o in others)
 
-    def succeeded(self, name):
+    def succeeded(self, key):
         """Record a success of the endpoint: it is no longer avoided."""
-        record = self.record(name)
+        record = self.record(key)
         record.failures = 0
         record.avoid_until_ms = 0
 
-    def failed(self, name, now):
+    def failed(self, key, now):
         """Record a failed request of the endpoint, and avoid it for a while."""
-        record = self.record(name)
+        record = self.record(key)
         record.failures += 1
-        pause = min(AVOID_MS * 2 ** (record.failures - 1), AVOID_MAX_MS)
-        record.avoid_until_ms = now + pause
+        avoid_ms = min(AVOID_MS * 2 ** (record.failures - 1), AVOID_MAX_MS)
+        record.avoid_until_ms = now + avoid_ms
--- a/dunlinpoint/routing/rate.py
+++ b/dunlinpoint/routing/rate.py
@@ -19,70 +19,74 @@
 
 # The largest burst, and so the number of entries that share most of the rate: some
 # requests that any endpoint can run at once, plus the rate over BURST_S seconds.
-AT_ONCE = 4
+BURST_REQUESTS = 4
 BURST_S = 2.0
 # The fraction of the rate that is left to the other entries.
-ASKING_PART = 0.2
+PROBE_FRACTION = 0.2
 # How long one of these may send its request once it is due.
-TURN_MS = 1000
+DUE_WINDOW_MS = 1000
 # Minimum rate (requests a second): an endpoint that gets no request can't lift its
 # limit.
-LEAST_PER_S = 0.1
+MIN_PER_S = 0.1
 
 
 @attrs.frozen
-class Part:
-    """One entry's share of a rate: its interval, and for how long (ms) a turn lasts.
+class Share:
+    """One entry's share of a rate.
 
-    ``pause_ms`` is the interval between two requests. A turn not used within
-    ``kept_ms`` is skipped.
+    One request is due every ``interval_ms``. If it is not sent within
+    ``due_window_ms``, it is skipped.
     """
 
-    pause_ms: float
-    kept_ms: float = math.inf
+    interval_ms: float
+    due_window_ms: float = math.inf
 
     @classmethod
-    def of(cls, per_s, life, place, places):
-        """The share of *per_s* for the entry with index *place* of *places*."""
-        per_s = max(per_s, LEAST_PER_S)
-        users = min(places, AT_ONCE + int(BURST_S * per_s))
-        others = places - users
-        if (place + zlib.crc32(life.encode())) % places < users:
-            per_s *= 1 if not others else 1 - ASKING_PART
+    def of(cls, per_s, incarnation, index, entry_count):
+        """The share of *per_s* for the entry with *index* (from 0) of *entry_count*."""
+        per_s = max(per_s, MIN_PER_S)
+        users = min(entry_count, BURST_REQUESTS + int(BURST_S * per_s))
+        others = entry_count - users
+        if (index + zlib.crc32(incarnation.encode())) % entry_count < users:
+            per_s *= 1 if not others else 1 - PROBE_FRACTION
             return cls(clock.MS_PER_SECOND * users / per_s)
-        return cls(clock.MS_PER_SECOND * others / (per_s * ASKING_PART), TURN_MS)
+        return cls(
+            clock.MS_PER_SECOND * others / (per_s * PROBE_FRACTION), DUE_WINDOW_MS
+        )
 
 
 @attrs.define
-class Rate:
+class Limiter:
     """When this entry may send requests to one endpoint with a rate limit.
 
-    ``per_s`` is the limit (requests a second) for all entries, ``named_ms`` when an
-    answer last bore it, and ``turn_ms`` when the next request is due.
+    ``per_s`` is the limit (requests a second) for all entries, ``last_signal_ms`` when
+    an answer last bore it, and ``next_ms`` when the next request is due.
     """
 
     per_s: float
-    named_ms: int
-    part: Part
-    turn_ms: float
+    last_signal_ms: int
+    share: Share
+    next_ms: float
 
     @classmethod
-    def begin(cls, per_s, now, part, rng):
-        """A limit first received at *now*; the first turn gets a random offset."""
-        return cls(per_s, now, part, now + part.pause_ms * rng.random())
+    def begin(cls, per_s, now, share, rng):
+        """A limit first received at *now*; the first request has a random offset."""
+        return cls(per_s, now, share, now + share.interval_ms * rng.random())
 
-    def change(self, part, now):
-        """Change this entry's share to *part*, without delaying the next turn."""
-        self.part = part
-        self.turn_ms = min(self.turn_ms, now + part.pause_ms)
+    def set_share(self, share, now):
+        """Change this entry's share, without delaying the next request."""
+        self.share = share
+        self.next_ms = min(self.next_ms, now + share.interval_ms)
 
     def available_ms(self, now):
         """When (ms) the next request may be sent."""
-        missed = now - self.turn_ms
-        if missed > self.part.kept_ms:
-            self.turn_ms += math.ceil(missed / self.part.pause_ms) * self.part.pause_ms
-        return self.turn_ms
+        missed = now - self.next_ms
+        if missed > self.share.due_window_ms:
+            self.next_ms += (
+                math.ceil(missed / self.share.interval_ms) * self.share.interval_ms
+            )
+        return self.next_ms
 
     def sent(self, now):
         """Record that a request is sent."""
-        self.turn_ms = now + self.part.pause_ms
+        self.next_ms = now + self.share.interval_ms
--- a/dunlinpoint/routing/tests/passes.py
+++ b/dunlinpoint/routing/tests/decode_steps.py
@@ -18,7 +18,7 @@
 # Time in a step for reading the prompt of each stream that begins in it.
 READ_MS = 8.4
 EVENTS = 28
-ALLOWED_MS = 120
+MAX_GAP_MS = 120
 
 
 @attrs.define
@@ -46,7 +46,7 @@
         return self.in_time / (self.in_time + self.late + self.refused)
 
 
-def pass_ms(streams, began, skew, ranks):
+def step_length_ms(streams, began, skew, ranks):
     """How long (ms) a step takes with *streams* over all *ranks*."""
     busiest = streams / ranks + 1
     own = STEPS * (STEP_MS + STREAM_MS * busiest + READ_MS * min(1, began / ranks))
@@ -56,31 +56,31 @@
 def play(load, limited):
     """Simulate *load*, with admission control at entries if *limited*."""
     rng = random.Random(load.seed)
-    paces = [
-        admission_control.AdmissionController(ALLOWED_MS) for _ in range(load.entries)
+    controllers = [
+        admission_control.AdmissionController(MAX_GAP_MS) for _ in range(load.entries)
     ]
     streams, result, now = [], Result(), 0.0
     began = 0
     while now < load.length_ms:
-        took = pass_ms(len(streams), began, load.skew(now), load.ranks)
+        took = step_length_ms(len(streams), began, load.skew(now), load.ranks)
         now += took
         for stream in streams:
             stream[1] -= 1
-            stream[2] |= took > ALLOWED_MS
-            paces[stream[0]].record_gap(took, int(now))
+            stream[2] |= took > MAX_GAP_MS
+            controllers[stream[0]].record_gap(took, int(now))
         for entry, left, was_late in streams:
             if not left:
-                paces[entry].ended()
+                controllers[entry].ended()
                 result.late += was_late
                 result.in_time += not was_late
         streams = [s for s in streams if s[1]]
         began = 0
         for _ in range(arrivals(rng, load.per_s(now) * took / 1000)):
             entry = rng.randrange(load.entries)
-            if limited and not paces[entry].has_room(int(now), rng):
+            if limited and not controllers[entry].admits(int(now), rng):
                 result.refused += 1
                 continue
-            paces[entry].began()
+            controllers[entry].began()
             streams.append([entry, EVENTS, False])
             began += 1
     return result
--- a/dunlinpoint/routing/tests/model.py
+++ b/dunlinpoint/routing/tests/model.py
@@ -99,8 +99,8 @@
     """One entry: its zone, and its index among the entries of its zone."""
 
     zone: str
-    place: int
-    places: int
+    index: int
+    entry_count: int
     picker: pick.Picker
     arranged: list | None = None
 
@@ -108,15 +108,15 @@
     def from_number(cls, number, entries):
         """Entry *number* of *entries*, which are assigned to the zones in turn."""
         zone = number % ZONES
-        places = len(range(zone, entries, ZONES))
-        return cls(f"z{zone}", number // ZONES, places, pick.Picker(f"z{zone}"))
+        entry_count = len(range(zone, entries, ZONES))
+        return cls(f"z{zone}", number // ZONES, entry_count, pick.Picker(f"z{zone}"))
 
 
 def round_robin(members, entry, _rng):
     """Every entry begins at its own endpoint."""
     if entry.arranged is None:
         entry.arranged = endpoint_order.preferred_order(
-            members, entry.zone, entry.place, entry.places
+            members, entry.zone, entry.index, entry.entry_count
         )
     return entry.arranged
 
--- a/dunlinpoint/routing/tests/overload.py
+++ b/dunlinpoint/routing/tests/overload.py
@@ -17,11 +17,11 @@
 
 from dunlinpoint.forward import capacity
 from dunlinpoint.routing import admission_control, latency, outage
-from dunlinpoint.routing.tests import passes
+from dunlinpoint.routing.tests import decode_steps
 
 # The round trip to the engine, and the load of the busiest rank over the mean.
-WAY_MS = 8
-BUSIEST = 1.2
+ROUND_TRIP_MS = 8
+BUSIEST_LOAD = 1.2
 EXPERT_SHARE = 0.85
 # The score of a late stream, and of a caller refused twice; one in time scores 1.
 LATE = 0.25
@@ -49,22 +49,22 @@
     events: float = 24
     most_events: int = 61
     prompt: float = 835
-    aim_ms: int = 503
-    allowed_ms: int = 120
+    latency_target_ms: int = 503
+    max_gap_ms: int = 120
 
-    def pass_ms(self, writing, read_tokens, skew, slow, ranks):
+    def step_length_ms(self, writing, read_tokens, skew, slow, ranks):
         """How long a step takes with *writing* streams and *read_tokens* to read."""
         work = self.steps * self.stream_ms * writing / ranks
         read = read_tokens / self.read_per_ms / ranks
         own = self.steps * self.step_ms
-        own += (1 - EXPERT_SHARE) * (BUSIEST * work + 3 * read)
+        own += (1 - EXPERT_SHARE) * (BUSIEST_LOAD * work + 3 * read)
         return own * slow + EXPERT_SHARE * (work + read) * max(skew, slow)
 
 
 SMALL = Engine()
 # For a group of 72 ranks.
 WIDE = Engine(
-    steps=5, stream_ms=2.18, slots=5, events=19.4, most_events=48, allowed_ms=150
+    steps=5, stream_ms=2.18, slots=5, events=19.4, most_events=48, max_gap_ms=150
 )
 # For one group of 63 ranks in three zones.
 ACROSS = Engine(
@@ -76,8 +76,8 @@
     events=23,
     most_events=58,
     prompt=840,
-    aim_ms=406,
-    allowed_ms=120,
+    latency_target_ms=406,
+    max_gap_ms=120,
 )
 # For groups of 64 ranks with few slots and long steps.
 LARGE = Engine(
@@ -88,8 +88,8 @@
     slots=3,
     events=17,
     most_events=43,
-    aim_ms=509,
-    allowed_ms=150,
+    latency_target_ms=509,
+    max_gap_ms=150,
 )
 
 
@@ -97,7 +97,7 @@
 class Load:
     """A run: arrivals a second, skew of experts, and slowdown of the slowest rank.
 
-    The group is stalled during ``stands_ms`` (from, to). The last three fields set
+    The group is stalled during ``stalled_ms`` (from, to). The last three fields set
     alternatives to the entries' behaviour: whether a caller's first attempt is refused
     instead of waiting for the group, the fraction of an entry's slots that late callers
     may take, and whether endpoints serve these last.
@@ -111,22 +111,22 @@
     length_ms: int = 30_000
     seed: int = 1
     engine: Engine = SMALL
-    stands_ms: tuple | None = None
-    sends_off_at_first: bool = False
-    late_share: float = latency.SLOTS_SHARE
-    late_are_last: bool = True
+    stalled_ms: tuple | None = None
+    refuses_first_attempts: bool = False
+    late_slots_fraction: float = latency.LATE_SLOTS_FRACTION
+    late_served_last: bool = True
 
     def is_stalled(self, now):
         """Whether the group is stalled at *now*."""
-        if self.stands_ms is None:
+        if self.stalled_ms is None:
             return False
-        return self.stands_ms[0] <= now < self.stands_ms[1]
+        return self.stalled_ms[0] <= now < self.stalled_ms[1]
 
     def opened_recently(self, now):
         """Whether there may be callers that waited for the group to open."""
-        if self.stands_ms is None:
+        if self.stalled_ms is None:
             return False
-        return 0 <= now - self.stands_ms[1] < outage.BACKLOG_DRAIN_MS
+        return 0 <= now - self.stalled_ms[1] < outage.BACKLOG_DRAIN_MS
 
 
 @attrs.define
@@ -150,7 +150,7 @@
         return sum(window.total() for window in self.by_window.values())
 
     @property
-    def worth(self):
+    def score(self):
         """The mean score of a caller."""
         latency, lost = LATE * self.total("late"), REFUSED_TWICE * self.total("lost")
         return (self.total("in_time") + latency + lost) / self.asked
@@ -170,15 +170,15 @@
     events: int
     prompt: int
     draw: float
-    returned: bool = False
+    is_retry: bool = False
     is_past_latency_target: bool = False
     last_ms: float | None = None
-    came_ms: float = 0.0
+    attempt_ms: float = 0.0
     turn: tuple | None = None
-    waits_its_turn: bool = False
+    is_queued: bool = False
 
     def __attrs_post_init__(self):
-        self.came_ms = self.asked_ms
+        self.attempt_ms = self.asked_ms
 
     def end(self, now):
         """The outcome of the caller of a stream that is complete at *now*."""
@@ -188,18 +188,22 @@
 
     def is_past_aim(self, engine, now):
         """Whether its first event can't come within the latency target any more."""
-        return latency.is_past_latency_target(self.asked_ms - now, 0, engine.aim_ms)
+        return latency.is_past_latency_target(
+            self.asked_ms - now, 0, engine.latency_target_ms
+        )
 
     def wait_until(self, engine):
         """When its caller stops waiting here for capacity, as in :mod:`capacity`."""
-        if not self.waits_its_turn:
-            return self.came_ms + capacity.WAIT_SHARE * engine.aim_ms
-        return self.leaves_ms(engine)
+        if not self.is_queued:
+            return self.attempt_ms + capacity.WAIT_SHARE * engine.latency_target_ms
+        return self.gives_up_ms(engine)
 
-    def leaves_ms(self, engine):
+    def gives_up_ms(self, engine):
         """When its caller would give up without a first event."""
-        event_timeout_ms = outage.event_timeout_ms(engine.aim_ms, engine.allowed_ms)
-        until_ms = self.came_ms + event_timeout_ms - outage.FIRST_EVENT_RESERVE_MS
+        event_timeout_ms = outage.event_timeout_ms(
+            engine.latency_target_ms, engine.max_gap_ms
+        )
+        until_ms = self.attempt_ms + event_timeout_ms - outage.FIRST_EVENT_RESERVE_MS
         return min(until_ms, self.asked_ms + TIMEOUT_MS - outage.TYPICAL_ANSWER_MS)
 
 
@@ -210,24 +214,24 @@
     controller: object
     queue: latency.Queue = attrs.field(factory=latency.Queue)
 
-    def lets_in(self, load, stream, now):
+    def is_not_shed(self, load, stream, now):
         """Whether *stream* is not refused at once."""
         if load.opened_recently(now):
             return True
         return (
-            self.controller.long_window_admitted_share(now, stream.returned)
+            self.controller.long_window_admitted_share(now, stream.is_retry)
             > stream.draw
         )
 
-    def has_room(self, stream, now, rng, engine, entry_slots):
+    def admits(self, stream, now, rng, engine, entry_slots):
         """Whether *stream* is admitted now."""
-        if not self.controller.has_room(now, rng, stream.returned):
+        if not self.controller.admits(now, rng, stream.is_retry):
             return False
-        if not stream.waits_its_turn:
+        if not stream.is_queued:
             return True
         if stream.turn is None:
-            until_ms = stream.leaves_ms(engine)
-            stream.turn = not stream.returned, until_ms, id(stream)
+            until_ms = stream.gives_up_ms(engine)
+            stream.turn = not stream.is_retry, until_ms, id(stream)
             self.queue.enter(stream.turn)
         return (
             self.queue.ahead_of(stream.turn) + 1
@@ -243,35 +247,35 @@
 
 def waits(load, stream, now):
     """Whether the caller of *stream* waits here while its group is stalled."""
-    if load.sends_off_at_first and not stream.returned:
+    if load.refuses_first_attempts and not stream.is_retry:
         return False
-    return now < stream.leaves_ms(load.engine)
+    return now < stream.gives_up_ms(load.engine)
 
 
 def play(load, make_pace=admission_control.AdmissionController):
-    """Simulate *load* with entries that admit by ``make_pace(allowed_ms)``."""
+    """Simulate *load* with entries that admit by ``make_pace(max_gap_ms)``."""
     engine = load.engine
     rng = random.Random(load.seed)
     weights = [rng.uniform(0.5, 1.5) for _ in range(load.entries)]
-    entries = [Entry(make_pace(engine.allowed_ms)) for _ in range(load.entries)]
-    entry_slots = load.late_share * engine.slots * load.ranks / load.entries
+    entries = [Entry(make_pace(engine.max_gap_ms)) for _ in range(load.entries)]
+    entry_slots = load.late_slots_fraction * engine.slots * load.ranks / load.entries
     result, now = Result(), 0.0
     running, queued, coming = [], [], []
     while now < load.length_ms:
-        stands = load.is_stalled(now)
-        if stands:
+        stalled = load.is_stalled(now)
+        if stalled:
             lose(running + queued, entries, result)
             running, queued, took = [], [], TICK_MS
         else:
-            if load.late_are_last:
+            if load.late_served_last:
                 queued.sort(key=lambda stream: stream.is_past_latency_target)
             began, queued = split(queued, engine.slots * load.ranks - len(running))
             running += began
             read = sum(s.prompt for s in began)
             skew, slow = load.skew(now), load.slow(now)
-            took = engine.pass_ms(len(running), read, skew, slow, load.ranks)
-        for _ in range(passes.arrivals(rng, load.per_s(now) * took / 1000)):
-            caller = fresh(rng, load, weights, now + rng.random() * took)
+            took = engine.step_length_ms(len(running), read, skew, slow, load.ranks)
+        for _ in range(decode_steps.arrivals(rng, load.per_s(now) * took / 1000)):
+            caller = first_attempt(rng, load, weights, now + rng.random() * took)
             heapq.heappush(coming, (caller.asked_ms, rng.random(), caller))
         now += took
         for stream in running:
@@ -280,33 +284,33 @@
         while coming and coming[0][0] <= now:
             at, _, caller = heapq.heappop(coming)
             entry = entries[caller.entry]
-            if stands:
-                lets_in, has_room, stays = True, False, waits(load, caller, at)
+            if stalled:
+                admitted, admits, stays = True, False, waits(load, caller, at)
             else:
-                lets_in = entry.lets_in(load, caller, now)
-                caller.waits_its_turn = load.opened_recently(
-                    now
-                ) and caller.is_past_aim(engine, now)
-                has_room = lets_in and entry.has_room(
+                admitted = entry.is_not_shed(load, caller, now)
+                caller.is_queued = load.opened_recently(now) and caller.is_past_aim(
+                    engine, now
+                )
+                admits = admitted and entry.admits(
                     caller, now, rng, engine, entry_slots
                 )
-                stays = lets_in and at < caller.wait_until(engine)
-            if stays and not has_room:
+                stays = admitted and at < caller.wait_until(engine)
+            if stays and not admits:
                 heapq.heappush(
                     coming, (at + capacity.POLL_INTERVAL_MS, rng.random(), caller)
                 )
                 continue
             entry.leave(caller)
-            if has_room:
+            if admits:
                 entry.controller.began()
                 caller.is_past_latency_target = caller.is_past_aim(engine, now)
                 queued.append(caller)
                 continue
-            if caller.returned:
+            if caller.is_retry:
                 result.count(caller, "lost")
                 continue
-            again_ms = send_away(rng, load, caller, at, weights, not lets_in)
-            heapq.heappush(coming, (again_ms, rng.random(), caller))
+            retry_at_ms = refuse(rng, load, caller, at, weights, not admitted)
+            heapq.heappush(coming, (retry_at_ms, rng.random(), caller))
     return result
 
 
@@ -317,30 +321,32 @@
         result.count(stream, "lost")
 
 
-def send_away(rng, load, caller, at, weights, lasting):
+def refuse(rng, load, caller, at, weights, is_overload):
     """Refuse *caller* at *at*; return when it retries, at an entry drawn anew."""
-    caller.returned = True
+    caller.is_retry = True
     caller.entry = rng.choices(range(len(weights)), weights)[0]
     caller.draw = rng.random()
     left_ms = caller.asked_ms + TIMEOUT_MS - at
     if load.is_stalled(at):
-        wait_ms = outage.outage_retry_after_ms(load.stands_ms[0], at, left_ms, rng)
+        wait_ms = outage.outage_retry_after_ms(load.stalled_ms[0], at, left_ms, rng)
     else:
         wait_ms = rng.uniform(
-            *(capacity.OVERLOAD_RETRY_MS if lasting else capacity.RETRY_MS)
+            *(capacity.OVERLOAD_RETRY_MS if is_overload else capacity.RETRY_MS)
         )
-    caller.came_ms = at + min(wait_ms, outage.max_retry_after_ms(left_ms))
-    return caller.came_ms
+    caller.attempt_ms = at + min(wait_ms, outage.max_retry_after_ms(left_ms))
+    return caller.attempt_ms
 
 
 def step(engine, stream, now, control, result):
     """Give *stream* one event at *now*."""
     if stream.last_ms is None:
-        stream.is_past_latency_target |= now + WAY_MS - stream.asked_ms > engine.aim_ms
+        stream.is_past_latency_target |= (
+            now + ROUND_TRIP_MS - stream.asked_ms > engine.latency_target_ms
+        )
     else:
-        pause_ms = now - stream.last_ms
-        stream.is_past_latency_target |= pause_ms > engine.allowed_ms
-        control.record_gap(pause_ms, int(now))
+        gap_ms = now - stream.last_ms
+        stream.is_past_latency_target |= gap_ms > engine.max_gap_ms
+        control.record_gap(gap_ms, int(now))
     stream.last_ms = now
     stream.events -= 1
     if stream.events <= 0:
@@ -354,7 +360,7 @@
     return items[:count], items[count:]
 
 
-def fresh(rng, load, weights, at):
+def first_attempt(rng, load, weights, at):
     """A caller's first attempt."""
     engine = load.engine
     events = min(engine.most_events, 1 + int(rng.expovariate(1 / engine.events)))
@@ -363,13 +369,13 @@
     return Stream(entry, at, events, prompt, rng.random())
 
 
-class AllIn:
+class FullAdmission:
     """Admission control that admits every request."""
 
-    def __init__(self, allowed_ms):
+    def __init__(self, max_gap_ms):
         pass
 
-    def record_gap(self, pause_ms, now):
+    def record_gap(self, gap_ms, now):
         pass
 
     def began(self):
@@ -378,8 +384,8 @@
     def ended(self):
         pass
 
-    def long_window_admitted_share(self, now, returned):
+    def long_window_admitted_share(self, now, is_retry):
         return 1.0
 
-    def has_room(self, now, rng, returned):
+    def admits(self, now, rng, is_retry):
         return True
--- a/dunlinpoint/routing/tests/test_groups.py
+++ b/dunlinpoint/routing/tests/test_groups.py
@@ -17,53 +17,53 @@
 EVEN = {"a": 30, "b": 30, "c": 30, "d": 30}
 
 
-def test_a_crowded_zone_sends_on_to_groups_that_have_room():
+def test_an_overloaded_zone_uses_groups_with_free_capacity():
     # Guards against an overloaded zone that uses only its own, slow group.
     place = zones.Deployment(UNEVEN, ACROSS)
-    home = zones.play(place, zones.home_only)
+    home = zones.play(place, zones.own_zone_only)
     found = zones.play(place, zones.divided)
     assert min(found.values()) > 2 * min(home.values()), (found, home)
     assert min(found.values()) > 0.8
 
 
-def test_one_group_with_a_poor_map_is_relieved():
+def test_load_moves_away_from_a_group_with_a_poor_map():
     # The most loaded rank of one group has 2.6 times the mean load for 8 s.
     place = zones.Deployment(
         EVEN, ACROSS, lambda group, now: 2.6 if group == "g1" and now > 8000 else 1.5
     )
-    home = zones.play(place, zones.home_only, length_ms=16_000)
+    home = zones.play(place, zones.own_zone_only, length_ms=16_000)
     found = zones.play(place, zones.divided, length_ms=16_000)
     assert sum(found.values()) > sum(home.values())
 
 
-def test_shares_do_not_swing():
+def test_shares_do_not_oscillate():
     # Guards against all entries sending to the faster group at once.
     found = zones.play(zones.Deployment(EVEN, ACROSS), zones.divided)
     assert min(found.values()) > 0.97, found
 
 
-def test_while_all_are_quick_streams_stay_in_their_zone():
-    calm = groups.Groups(120)
-    calm.update({"g1": 24, "g2": 24}, {"g1": 24}, SLOTS)
+def test_streams_stay_in_their_zone_while_all_groups_are_fast():
+    found = groups.Groups(120)
+    found.update({"g1": 24, "g2": 24}, {"g1": 24}, SLOTS)
     for now in range(0, 60_000, 125):
-        calm.record_gap("g1", 50, now)
-        calm.record_gap("g2", 50, now)
-    assert calm.share_by_group["g1"] > 0.9
-    assert calm.share_by_group["g2"] >= groups.LEAST_SHARE
+        found.record_gap("g1", 50, now)
+        found.record_gap("g2", 50, now)
+    assert found.share_by_group["g1"] > 0.9
+    assert found.share_by_group["g2"] >= groups.MIN_SHARE
 
 
-def test_a_group_without_room_is_passed_over():
+def test_a_group_without_capacity_is_not_chosen():
     found = groups.Groups(120)
     found.update({"g1": 24, "g2": 24}, {"g1": 24}, SLOTS)
     full = found.controller("g1")
     full.in_flight = 9
-    full.record_gap(admission_control.NONE_IN * 120, 1000)
+    full.record_gap(admission_control.NO_ADMISSION * 120, 1000)
     rng = random.Random(1)
     assert {found.choose(["g1", "g2"], 1000, False, rng) for _ in range(9)} == {"g2"}
     assert found.choose(["g1"], 1000, False, rng) is None
 
 
-def test_groups_that_are_gone_are_forgotten():
+def test_unknown_groups_are_removed():
     found = groups.Groups(120)
     found.update({"": 3}, {"": 3}, SLOTS)
     found.update({"g1": 24, "g2": 24}, {"g2": 24}, SLOTS)
@@ -71,7 +71,7 @@
     assert abs(sum(found.share_by_group.values()) - 1) < 0.01
 
 
-def test_streams_of_a_forgotten_group_leave_nothing_behind():
+def test_streams_of_a_removed_group_do_not_count():
     # Guards against a negative number of streams in flight.
     found = groups.Groups(120)
     found.update({"g1": 24}, {"g1": 24}, SLOTS)
--- a/dunlinpoint/routing/tests/test_outage.py
+++ b/dunlinpoint/routing/tests/test_outage.py
@@ -37,14 +37,14 @@
     return [m.endpoint_id for m in ENDPOINTS if not found.is_stalled(m, now)]
 
 
-def test_a_broken_group_is_sent_nothing_and_others_are():
+def test_only_the_broken_group_gets_no_requests():
     found = known()
     assert usable(found) == ["i-0", "i-1", "i-2", "i-3"]
     found.update([rank(0, broken=True), rank(1), rank(2, "other")], ADDRESSES, NOW)
     assert usable(found) == ["i-2", "i-3"]
 
 
-def test_a_group_that_opened_is_used_and_its_endpoints_are_forgiven():
+def test_a_group_that_opened_is_used_again():
     # Guards against counting failures of the group against each of its ranks.
     found = known()
     found.update([rank(0, broken=True), rank(1)], ADDRESSES, NOW)
@@ -53,17 +53,17 @@
     assert len(usable(found)) == 4
 
 
-def test_an_old_word_of_a_rank_does_not_close_a_group_that_opened():
+def test_a_report_of_an_earlier_epoch_does_not_close_an_open_group():
     found = known([rank(0, epoch=2), rank(1, epoch=1, broken=True)])
     assert len(usable(found)) == 4
 
 
-def test_one_refusal_that_names_another_stops_the_group_but_for_probes():
+def test_a_suspected_group_gets_only_probes():
     # Guards against treating ranks as independent servers.
     found = known()
     found.suspect(ENDPOINTS[0], NOW)
     assert usable(found, NOW + 1) == ["i-2", "i-3"]
-    later = NOW + outage.PROBE_MS
+    later = NOW + outage.PROBE_INTERVAL_MS
     assert len(usable(found, later)) == 4
     found.probe(ENDPOINTS[1], later)
     assert usable(found, later) == ["i-2", "i-3"]
@@ -71,7 +71,7 @@
     assert len(usable(found, later)) == 4
 
 
-def test_groups_that_are_gone_are_forgotten():
+def test_unknown_groups_are_removed():
     found = known()
     found.suspect(ENDPOINTS[0], NOW)
     found.update([], set(), NOW)
@@ -79,24 +79,24 @@
     assert found.epoch_by_group == {}
 
 
-def test_callers_come_back_after_the_outage_and_not_all_at_once():
+def test_retry_after_is_past_the_outage_and_has_jitter():
     # Guards against callers that return during the outage, or all at the same moment.
     rng = random.Random(1)
     times = [outage.outage_retry_after_ms(NOW, NOW + 100, 8000, rng) for _ in range(50)]
-    assert min(times) >= outage.LEAST_OUTAGE_MS * (1 - outage.SPREAD)
+    assert min(times) >= outage.MIN_OUTAGE_MS * (1 - outage.RETRY_AFTER_JITTER)
     assert max(times) <= 8000 / 3
     assert max(times) - min(times) > 100
     late = [outage.outage_retry_after_ms(NOW, NOW + 100, 900, rng) for _ in range(50)]
     assert max(late) <= 300
 
 
-def test_callers_stay_for_the_longest_of_a_time_their_aim_and_their_pauses():
+def test_event_timeout_is_the_longest_of_three_bounds():
     assert outage.event_timeout_ms(400, 120) == 2000
     assert outage.event_timeout_ms(800, 120) == 3200
     assert outage.event_timeout_ms(400, 300) == 2400
 
 
-def test_an_endpoint_of_no_known_group_is_avoided_itself():
+def test_an_endpoint_without_a_known_group_is_not_suspected_as_one():
     # Guards against blaming an unknown group, so that no endpoint is avoided.
     found = outage.Outages()
     assert not found.suspect(ENDPOINTS[0], NOW)
--- a/dunlinpoint/routing/tests/test_overload.py
+++ b/dunlinpoint/routing/tests/test_overload.py
@@ -19,9 +19,9 @@
 from dunlinpoint.routing.tests import overload
 
 LOST_MS = 8_000
-BACK_MS = 10_300
+NEW_LEADER_MS = 10_300
 # Nine in ten callers must be in time again 3 s after the cause has ended.
-AGAIN_MS = BACK_MS + 3_000
+RECOVERED_MS = NEW_LEADER_MS + 3_000
 IN_TIME = 0.9
 SEEDS = range(1, 5)
 
@@ -32,8 +32,8 @@
     return 3.2 if since < 450 else 1.9 if since < 800 else 1.35
 
 
-def lead_lost(now):
-    return 3.2 if LOST_MS < now < BACK_MS else jumps(now)
+def leader_lost(now):
+    return 3.2 if LOST_MS < now < NEW_LEADER_MS else jumps(now)
 
 
 def play(per_s, skew, **how):
@@ -53,8 +53,8 @@
 
 
 def in_time_after(results):
-    """The fraction in time of callers that arrive within 6 s from ``AGAIN_MS``."""
-    first = -(-AGAIN_MS // overload.WINDOW_MS)
+    """The fraction in time of callers that arrive within 6 s from ``RECOVERED_MS``."""
+    first = -(-RECOVERED_MS // overload.WINDOW_MS)
     return statistics.mean(
         result.share_in_time(window)
         for result in results
@@ -62,9 +62,9 @@
     )
 
 
-def test_the_load_fits_while_nothing_is_lost():
+def test_the_load_fits_while_no_leader_is_lost():
     assert in_time_after(play(150, jumps)) > IN_TIME
 
 
-def test_most_are_in_time_soon_after_a_lead_was_lost():
-    assert in_time_after(play(150, lead_lost)) > IN_TIME
+def test_most_are_in_time_soon_after_a_leader_was_lost():
+    assert in_time_after(play(150, leader_lost)) > IN_TIME
--- a/dunlinpoint/routing/tests/test_pick.py
+++ b/dunlinpoint/routing/tests/test_pick.py
@@ -20,7 +20,7 @@
     return found and found.endpoint_id
 
 
-def test_the_least_loaded_wins_and_order_decides_between_equals():
+def test_the_least_loaded_is_picked_and_order_breaks_ties():
     picker = pick.Picker("z0")
     members = [member("b"), member("a")]
     assert chosen(picker, members) == "b"
@@ -40,7 +40,7 @@
     assert chosen(picker, members) == "far"
 
 
-def test_what_an_endpoint_reports_counts_if_it_is_more():
+def test_reported_load_counts_if_it_is_higher():
     picker = pick.Picker("z0")
     assert chosen(picker, [member("a", load=3), member("b", load=1)]) == "b"
 
@@ -55,7 +55,7 @@
     assert chosen(picker, members, exclude={"a", "b"}) is None
 
 
-def test_records_of_endpoints_that_are_gone_are_dropped():
+def test_records_of_removed_endpoints_are_dropped():
     # Guards against memory that grows with every endpoint that has ever existed.
     picker = pick.Picker("z0")
     for i in range(3000):
@@ -63,10 +63,10 @@
         picker.began(name)
         picker.ended(name)
         picker.forget({name})
-    assert len(picker.record_by_life) == 1
+    assert len(picker.record_by_incarnation) == 1
 
 
-def test_each_entry_begins_elsewhere():
+def test_each_entry_begins_at_another_endpoint():
     members = [member(f"m{i}") for i in range(6)]
     first = [endpoint_order.rotated(members, i, 3)[0].endpoint_id for i in range(3)]
     assert first == ["m0", "m2", "m4"]
@@ -74,7 +74,7 @@
     assert endpoint_order.rotated(members, 0, 0) == members
 
 
-def test_the_entries_of_a_zone_begin_all_round_its_endpoints():
+def test_the_entries_of_a_zone_begin_at_evenly_spaced_endpoints():
     # Guards against entries of a zone that begin at endpoints close to each other.
     members = [member(f"m{i}", f"z{i % 3}") for i in range(24)]
     first = [endpoint_order.preferred_order(members, "z1", i, 4)[0] for i in range(4)]
@@ -82,7 +82,7 @@
     assert [m.endpoint_id for m in first] == ["m1", "m7", "m13", "m19"]
 
 
-def test_places_follow_the_entries_that_ask():
+def test_indexes_follow_the_entries_that_poll():
     known = followers.Followers()
 
     def place(zone, name, now):
@@ -97,7 +97,7 @@
     assert place("z1", "b", 20 + followers.ENTRY_TIMEOUT_MS) == (0, 1, 0, 1)
 
 
-def test_a_poll_does_not_number_all_entries_anew():
+def test_a_poll_does_not_renumber_all_entries():
     # Guards against a control that needs a whole core for the polls of some hundred
     # entries.
     known = followers.Followers()
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("group, busiest", GROUPS)
-def test_entries_that_see_nothing_of_each_other_spread_evenly(group, busiest):
+def test_entries_without_shared_state_distribute_evenly(group, busiest):
     # Guards against a busiest endpoint that determines the speed of all others.
     found = model.play(group, model.round_robin)
     before = model.play(group, model.at_random)
@@ -133,7 +133,7 @@
     assert found.most <= MOST
 
 
-def test_a_zone_with_few_ranks_of_a_group_does_not_swamp_them():
+def test_a_zone_with_few_ranks_of_a_group_does_not_overload_them():
     # Guards against six ranks getting all that their zone sends to a group of 24.
     group = [member(f"a{i:02}", "a") for i in range(18)]
     group += [member(f"b{i:02}", "b") for i in range(6)]
@@ -143,7 +143,7 @@
         order = endpoint_order.preferred_order_in_group(group, "b", place, 8)
         assert not endpoint_order.is_evenly_distributed(group, "b")
         for _ in range(9):
-            found = picker.pick(order, 0, near=False)
+            found = picker.pick(order, 0, prefer_own_zone=False)
             picker.began(found.endpoint_id)
             got[found.endpoint_id] += 1
     in_b = sum(count for name, count in got.items() if name.startswith("b"))
@@ -159,7 +159,7 @@
     assert [m.zone for m in order[:4]] == ["b"] * 4
 
 
-def test_an_endpoint_that_started_again_is_as_good_as_new():
+def test_a_restarted_endpoint_has_a_new_record():
     # Guards against the state of the previous incarnation counting against a new one.
     picker = pick.Picker("z0")
     earlier, again = member("a"), member("a")
--- a/dunlinpoint/routing/tests/zones.py
+++ b/dunlinpoint/routing/tests/zones.py
@@ -1,7 +1,7 @@
 """A seeded model of several groups of ranks behind entries in several zones.
 
-As in :mod:`decode_steps`, each step of a group gives each of its streams one event, and a
-stream is in time if no inter-event gap is longer than allowed.
+As in :mod:`decode_steps`, each step of a group gives each of its streams one event, and
+a stream is in time if no inter-event gap is longer than allowed.
 """
 
 import random
@@ -9,7 +9,7 @@
 import attrs
 
 from dunlinpoint.routing import groups
-from dunlinpoint.routing.tests import passes
+from dunlinpoint.routing.tests import decode_steps
 
 RANKS = 24
 ENTRIES = 8
@@ -38,9 +38,9 @@
     skew: object = lambda group, now: SKEW
 
 
-def home_only(entry, names, _now, rng):
+def own_zone_only(entry, names, _now, rng):
     """Draw a group by its endpoints in the entry's own zone only."""
-    weights = [entry.home_by_group[name] for name in names]
+    weights = [entry.own_zone_share_by_group[name] for name in names]
     return rng.choices(names, weights)[0]
 
 
@@ -60,15 +60,15 @@
     counts = {zone: [0, 0] for zone in entries}
     for now in range(0, length_ms, STEP_MS):
         for zone, per_s in deployment.per_s_by_zone.items():
-            for _ in range(passes.arrivals(rng, per_s * STEP_MS / 1000)):
+            for _ in range(decode_steps.arrivals(rng, per_s * STEP_MS / 1000)):
                 entry = rng.choice(entries[zone])
                 name = choose(entry, names, now, rng)
-                live[name].streams.append([entry, zone, passes.EVENTS, False])
+                live[name].streams.append([entry, zone, decode_steps.EVENTS, False])
                 live[name].began += 1
         for name, group in live.items():
             if now >= group.ends_ms:
-                end_pass(name, group, now, counts)
-                took = passes.pass_ms(
+                end_step(name, group, now, counts)
+                took = decode_steps.step_length_ms(
                     len(group.streams),
                     group.began,
                     deployment.skew(name, now),
@@ -80,21 +80,21 @@
 
 def entry_of(deployment, zone):
     """The ``Groups`` of one entry in *zone*."""
-    entry = groups.Groups(passes.ALLOWED_MS)
+    entry = groups.Groups(decode_steps.MAX_GAP_MS)
     sizes = {g: sum(s.values()) for g, s in deployment.sizes_by_group.items()}
     here = {g: s.get(zone, 0) for g, s in deployment.sizes_by_group.items()}
     entry.update(sizes, here, SLOTS)
     return entry
 
 
-def end_pass(name, group, now, counts):
+def end_step(name, group, now, counts):
     """Give every stream of *group* its event."""
     took = now - group.started_ms
     staying = []
     for stream in group.streams:
         entry, zone, _, _ = stream
         stream[2] -= 1
-        stream[3] |= took > passes.ALLOWED_MS
+        stream[3] |= took > decode_steps.MAX_GAP_MS
         entry.record_gap(name, took, now)
         if stream[2]:
             staying.append(stream)
--- a/dunlinpoint/suspects/registry.py
+++ b/dunlinpoint/suspects/registry.py
@@ -23,14 +23,14 @@
 from dunlinpoint.wire.gen.dunlin import ttypes
 
 MAX_SUSPECTS = 100_000
-MAX_LIVES = 8
-# How long a report counts. A caller that still retries after it crashes CONVICTED_AT
-# endpoints again.
+MAX_INCARNATIONS = 8
+# How long a report counts. A caller that still retries after it crashes another
+# CONVICTED_CRASHES endpoints.
 EXPIRY_MS = 600_000
-SUSPECTED_AT = 2
-CONVICTED_AT = 3
+SUSPECTED_CRASHES = 2
+CONVICTED_CRASHES = 3
 # Crashes within this time count as one event.
-ONE_EVENT_MS = 300
+SAME_EVENT_MS = 300
 # The revision of a follower that knows nothing: it gets all reports.
 NO_REVISION = 0
 
@@ -47,45 +47,45 @@
 class Suspect:
     """Crashes and clearance of one request; times are in ms of the local clock.
 
-    ``void_ms`` is when it was last served or its conviction was lifted: crashes before
-    it do not count.
+    ``cleared_ms`` is when it was last served or its conviction was lifted: crashes
+    before it do not count.
     """
 
     ended_ms_by_incarnation: dict = attrs.field(factory=dict)
-    void_ms: int | None = None
+    cleared_ms: int | None = None
     changed_ms: int = 0
     revision: int = 0
 
     def suspect_status(self):
         """The ``SuspectStatus`` of the request by the crashes that count."""
         times = self.ended_ms_by_incarnation.values()
-        if len(times) < SUSPECTED_AT:
+        if len(times) < SUSPECTED_CRASHES:
             return SuspectStatus.CLEAR
-        apart = max(times) - min(times) >= ONE_EVENT_MS
-        if len(times) >= CONVICTED_AT and apart:
+        is_several_events = max(times) - min(times) >= SAME_EVENT_MS
+        if len(times) >= CONVICTED_CRASHES and is_several_events:
             return SuspectStatus.CONVICTED
         return SuspectStatus.SUSPECTED
 
-    def void(self, at_ms):
+    def clear(self, at_ms):
         """Discard crashes up to *at_ms*; return whether that changed anything."""
-        if self.void_ms is not None and at_ms <= self.void_ms:
+        if self.cleared_ms is not None and at_ms <= self.cleared_ms:
             return False
-        self.void_ms = at_ms
-        for life, ended_ms in list(self.ended_ms_by_incarnation.items()):
+        self.cleared_ms = at_ms
+        for incarnation, ended_ms in list(self.ended_ms_by_incarnation.items()):
             if ended_ms <= at_ms:
-                del self.ended_ms_by_incarnation[life]
+                del self.ended_ms_by_incarnation[incarnation]
         return True
 
-    def ended(self, life, at_ms):
+    def record_crash(self, incarnation, at_ms):
         """Record a crash at *at_ms*; return whether that changed anything."""
         if (
-            life in self.ended_ms_by_incarnation
-            or len(self.ended_ms_by_incarnation) >= MAX_LIVES
+            incarnation in self.ended_ms_by_incarnation
+            or len(self.ended_ms_by_incarnation) >= MAX_INCARNATIONS
         ):
             return False
-        if self.void_ms is not None and at_ms <= self.void_ms:
+        if self.cleared_ms is not None and at_ms <= self.cleared_ms:
             return False
-        self.ended_ms_by_incarnation[life] = at_ms
+        self.ended_ms_by_incarnation[incarnation] = at_ms
         return True
 
 
@@ -123,12 +123,12 @@
         if suspect is None:
             suspect = Suspect()
         if report.life:
-            is_news = suspect.ended(report.life, at_ms)
+            is_changed = suspect.record_crash(report.life, at_ms)
         else:
-            is_news = suspect.void(at_ms)
-        if is_news:
+            is_changed = suspect.clear(at_ms)
+        if is_changed:
             self._changed(report.digest, suspect, now)
-        return is_news
+        return is_changed
 
     def _changed(self, digest, suspect, now):
         self.revision += 1
@@ -162,8 +162,8 @@
 
 def _reports_of(digest, suspect, now):
     found = []
-    if suspect.void_ms is not None:
-        found.append(ttypes.CrashReport(digest, "", now - suspect.void_ms))
-    for life, ended_ms in suspect.ended_ms_by_incarnation.items():
-        found.append(ttypes.CrashReport(digest, life, now - ended_ms))
+    if suspect.cleared_ms is not None:
+        found.append(ttypes.CrashReport(digest, "", now - suspect.cleared_ms))
+    for incarnation, ended_ms in suspect.ended_ms_by_incarnation.items():
+        found.append(ttypes.CrashReport(digest, incarnation, now - ended_ms))
     return found
--- a/dunlinpoint/suspects/sharing.py
+++ b/dunlinpoint/suspects/sharing.py
@@ -23,7 +23,7 @@
 RETRY_MS = 500
 # Reports pile up beyond this number only if no control was reachable for long. The
 # oldest are dropped.
-MAX_WAITING = 10_000
+MAX_PENDING = 10_000
 
 
 @attrs.frozen
@@ -45,21 +45,21 @@
 
     view: view.View
     clock: clock.Clock
-    waiting: list = attrs.field(factory=list)
-    is_telling: bool = False
+    pending: list = attrs.field(factory=list)
+    is_sending: bool = False
 
     def publish(self, reports):
         """Send *reports* (``PendingReport``) to every reachable control."""
-        self.waiting = (self.waiting + reports)[-MAX_WAITING:]
-        if not self.is_telling:
-            self.is_telling = True
-            self._tell().addErrback(self._failed)
+        self.pending = (self.pending + reports)[-MAX_PENDING:]
+        if not self.is_sending:
+            self.is_sending = True
+            self._send().addErrback(self._failed)
 
     @defer.inlineCallbacks
-    def _tell(self):
-        while self.waiting:
-            told = self.waiting
-            messages = [report.to_message(self.clock.now()) for report in told]
+    def _send(self):
+        while self.pending:
+            sent = self.pending
+            messages = [report.to_message(self.clock.now()) for report in sent]
             calls = [
                 follow.link.call("report", messages)
                 for follow in self.view.controls.followed_by_address.values()
@@ -69,11 +69,11 @@
                 if not ok and not failure.check(errors.WireError):
                     log.error("report_failed", error=failure.getErrorMessage())
             if any(ok for ok, _ in results):
-                self.waiting = [r for r in self.waiting if r not in told]
+                self.pending = [r for r in self.pending if r not in sent]
             else:
                 yield self.clock.sleep(RETRY_MS)
-        self.is_telling = False
+        self.is_sending = False
 
     def _failed(self, failure):
-        self.is_telling = False
+        self.is_sending = False
         log.error("report_failed", error=failure.getTraceback())
--- a/dunlinpoint/suspects/tests/test_sharing.py
+++ b/dunlinpoint/suspects/tests/test_sharing.py
@@ -43,19 +43,19 @@
     return reactor, sharing.Sharing(View(controls), clock.Clock(reactor))
 
 
-def report(life, at_ms=0):
-    return sharing.PendingReport(b"d", life, at_ms)
+def report(incarnation, at_ms=0):
+    return sharing.PendingReport(b"d", incarnation, at_ms)
 
 
-def test_every_control_in_reach_is_told():
+def test_every_reachable_control_gets_the_reports():
     near, away, cut = Link(), Link(), Link(reached=False)
     _, found = entry(near, away, cut)
     found.publish([report("a")])
     assert near.taken == away.taken == [("a", 0)]
-    assert found.waiting == []
+    assert found.pending == []
 
 
-def test_reports_wait_for_a_control_and_keep_their_time():
+def test_pending_reports_keep_their_time():
     # No control is reachable from the entry when an endpoint crashes, and another
     # endpoint crashes before one is reachable again.
     link = Link(reached=False)
@@ -66,12 +66,12 @@
     link.reached = True
     reactor.advance(sharing.RETRY_MS / 1000 - 0.2)
     assert link.taken == [("a", 500), ("b", 300)]
-    assert found.waiting == [] and not found.is_telling
+    assert found.pending == [] and not found.is_sending
 
 
-def test_reports_that_wait_are_bounded(monkeypatch):
-    monkeypatch.setattr(sharing, "MAX_WAITING", 3)
+def test_pending_reports_are_bounded(monkeypatch):
+    monkeypatch.setattr(sharing, "MAX_PENDING", 3)
     _, found = entry(Link(reached=False))
-    for life in "abcde":
-        found.publish([report(life)])
-    assert [waiting.incarnation for waiting in found.waiting] == ["c", "d", "e"]
+    for incarnation in "abcde":
+        found.publish([report(incarnation)])
+    assert [pending.incarnation for pending in found.pending] == ["c", "d", "e"]
