--- a/dunlinpoint/routing/tests/model.py
+++ b/dunlinpoint/routing/tests/model.py
@@ -55,7 +55,7 @@
 
     busiest: float
     most: float
-    crowded: float
+    overfull: float
 
 
 def play(group, order):
@@ -69,7 +69,7 @@
     weights = [rng.uniform(0.5, 1.5) for _ in entries]
     total = dict.fromkeys((m.endpoint_id for m in members), 0)
     sent = collections.Counter()
-    ends, ratios, crowded, now = [], [], 0, 0.0
+    ends, ratios, overfull, now = [], [], 0, 0.0
     while now < group.length_s:
         now += rng.expovariate(group.per_s)
         while ends and ends[0][0] <= now:
@@ -85,12 +85,12 @@
         heapq.heappush(ends, (end, len(ends) + rng.random(), entry, chosen))
         if now > WARM_S:
             ratios.append(max(total.values()) * group.ranks / sum(total.values()))
-            crowded += total[chosen] > group.slots
+            overfull += total[chosen] > group.slots
             sent[chosen] += 1
     return Evenness(
         statistics.mean(ratios),
         max(sent.values()) * group.ranks / sum(sent.values()),
-        crowded / len(ratios),
+        overfull / len(ratios),
     )
 
 
@@ -102,7 +102,7 @@
     index: int
     entry_count: int
     picker: pick.Picker
-    arranged: list | None = None
+    order: list | None = None
 
     @classmethod
     def from_number(cls, number, entries):
@@ -114,11 +114,11 @@
 
 def round_robin(members, entry, _rng):
     """Every entry begins at its own endpoint."""
-    if entry.arranged is None:
-        entry.arranged = endpoint_order.preferred_order(
+    if entry.order is None:
+        entry.order = endpoint_order.preferred_order(
             members, entry.zone, entry.index, entry.entry_count
         )
-    return entry.arranged
+    return entry.order
 
 
 def at_random(members, _entry, rng):
--- a/dunlinpoint/routing/tests/overload.py
+++ b/dunlinpoint/routing/tests/overload.py
@@ -67,7 +67,7 @@
     steps=5, stream_ms=2.18, slots=5, events=19.4, most_events=48, max_gap_ms=150
 )
 # For one group of 63 ranks in three zones.
-ACROSS = Engine(
+THREE_ZONES = Engine(
     step_ms=5.85,
     steps=6,
     stream_ms=0.85,
@@ -138,22 +138,22 @@
     )
 
     def count(self, caller, kind):
-        """Count the outcome of a caller: ``in_time``, ``latency`` or ``lost``."""
-        self.by_window[int(caller.asked_ms // WINDOW_MS)][kind] += 1
+        """Count the outcome of a caller: ``in_time``, ``late`` or ``lost``."""
+        self.by_window[int(caller.first_attempt_ms // WINDOW_MS)][kind] += 1
 
     def total(self, kind):
         """The number of callers with the outcome *kind*."""
         return sum(window[kind] for window in self.by_window.values())
 
     @property
-    def asked(self):
+    def callers(self):
         return sum(window.total() for window in self.by_window.values())
 
     @property
     def score(self):
         """The mean score of a caller."""
-        latency, lost = LATE * self.total("late"), REFUSED_TWICE * self.total("lost")
-        return (self.total("in_time") + latency + lost) / self.asked
+        late, lost = LATE * self.total("late"), REFUSED_TWICE * self.total("lost")
+        return (self.total("in_time") + late + lost) / self.callers
 
     def share_in_time(self, window):
         """The fraction in time of the callers of one window."""
@@ -166,7 +166,7 @@
     """One caller's stream."""
 
     entry: int
-    asked_ms: float
+    first_attempt_ms: float
     events: int
     prompt: int
     draw: float
@@ -178,18 +178,18 @@
     is_queued: bool = False
 
     def __attrs_post_init__(self):
-        self.attempt_ms = self.asked_ms
+        self.attempt_ms = self.first_attempt_ms
 
     def end(self, now):
         """The outcome of the caller of a stream that is complete at *now*."""
-        if now - self.asked_ms > TIMEOUT_MS:
+        if now - self.first_attempt_ms > TIMEOUT_MS:
             return "lost"
         return "late" if self.is_past_latency_target else "in_time"
 
-    def is_past_aim(self, engine, now):
+    def cannot_meet_target(self, engine, now):
         """Whether its first event can't come within the latency target any more."""
         return latency.is_past_latency_target(
-            self.asked_ms - now, 0, engine.latency_target_ms
+            self.first_attempt_ms - now, 0, engine.latency_target_ms
         )
 
     def wait_until(self, engine):
@@ -204,7 +204,9 @@
             engine.latency_target_ms, engine.max_gap_ms
         )
         until_ms = self.attempt_ms + event_timeout_ms - outage.FIRST_EVENT_RESERVE_MS
-        return min(until_ms, self.asked_ms + TIMEOUT_MS - outage.TYPICAL_ANSWER_MS)
+        return min(
+            until_ms, self.first_attempt_ms + TIMEOUT_MS - outage.TYPICAL_ANSWER_MS
+        )
 
 
 @attrs.define
@@ -214,7 +216,7 @@
     controller: object
     queue: latency.Queue = attrs.field(factory=latency.Queue)
 
-    def is_not_shed(self, load, stream, now):
+    def accepts(self, load, stream, now):
         """Whether *stream* is not refused at once."""
         if load.opened_recently(now):
             return True
@@ -264,7 +266,7 @@
     while now < load.length_ms:
         stalled = load.is_stalled(now)
         if stalled:
-            lose(running + queued, entries, result)
+            count_lost(running + queued, entries, result)
             running, queued, took = [], [], TICK_MS
         else:
             if load.late_served_last:
@@ -276,7 +278,7 @@
             took = engine.step_length_ms(len(running), read, skew, slow, load.ranks)
         for _ in range(decode_steps.arrivals(rng, load.per_s(now) * took / 1000)):
             caller = first_attempt(rng, load, weights, now + rng.random() * took)
-            heapq.heappush(coming, (caller.asked_ms, rng.random(), caller))
+            heapq.heappush(coming, (caller.first_attempt_ms, rng.random(), caller))
         now += took
         for stream in running:
             step(engine, stream, now, entries[stream.entry].controller, result)
@@ -285,36 +287,36 @@
             at, _, caller = heapq.heappop(coming)
             entry = entries[caller.entry]
             if stalled:
-                admitted, admits, stays = True, False, waits(load, caller, at)
+                accepted, is_admitted, stays = True, False, waits(load, caller, at)
             else:
-                admitted = entry.is_not_shed(load, caller, now)
-                caller.is_queued = load.opened_recently(now) and caller.is_past_aim(
-                    engine, now
-                )
-                admits = admitted and entry.admits(
+                accepted = entry.accepts(load, caller, now)
+                caller.is_queued = load.opened_recently(
+                    now
+                ) and caller.cannot_meet_target(engine, now)
+                is_admitted = accepted and entry.admits(
                     caller, now, rng, engine, entry_slots
                 )
-                stays = admitted and at < caller.wait_until(engine)
-            if stays and not admits:
+                stays = accepted and at < caller.wait_until(engine)
+            if stays and not is_admitted:
                 heapq.heappush(
                     coming, (at + capacity.POLL_INTERVAL_MS, rng.random(), caller)
                 )
                 continue
             entry.leave(caller)
-            if admits:
+            if is_admitted:
                 entry.controller.began()
-                caller.is_past_latency_target = caller.is_past_aim(engine, now)
+                caller.is_past_latency_target = caller.cannot_meet_target(engine, now)
                 queued.append(caller)
                 continue
             if caller.is_retry:
                 result.count(caller, "lost")
                 continue
-            retry_at_ms = refuse(rng, load, caller, at, weights, not admitted)
+            retry_at_ms = refuse(rng, load, caller, at, weights, not accepted)
             heapq.heappush(coming, (retry_at_ms, rng.random(), caller))
     return result
 
 
-def lose(streams, entries, result):
+def count_lost(streams, entries, result):
     """Count *streams* as lost: the group broke, and their callers have given up."""
     for stream in streams:
         entries[stream.entry].controller.ended()
@@ -326,7 +328,7 @@
     caller.is_retry = True
     caller.entry = rng.choices(range(len(weights)), weights)[0]
     caller.draw = rng.random()
-    left_ms = caller.asked_ms + TIMEOUT_MS - at
+    left_ms = caller.first_attempt_ms + TIMEOUT_MS - at
     if load.is_stalled(at):
         wait_ms = outage.outage_retry_after_ms(load.stalled_ms[0], at, left_ms, rng)
     else:
@@ -337,20 +339,20 @@
     return caller.attempt_ms
 
 
-def step(engine, stream, now, control, result):
+def step(engine, stream, now, controller, result):
     """Give *stream* one event at *now*."""
     if stream.last_ms is None:
         stream.is_past_latency_target |= (
-            now + ROUND_TRIP_MS - stream.asked_ms > engine.latency_target_ms
+            now + ROUND_TRIP_MS - stream.first_attempt_ms > engine.latency_target_ms
         )
     else:
         gap_ms = now - stream.last_ms
         stream.is_past_latency_target |= gap_ms > engine.max_gap_ms
-        control.record_gap(gap_ms, int(now))
+        controller.record_gap(gap_ms, int(now))
     stream.last_ms = now
     stream.events -= 1
     if stream.events <= 0:
-        control.ended()
+        controller.ended()
         result.count(stream, stream.end(now))
 
 
--- a/dunlinpoint/routing/tests/test_admission_control.py
+++ b/dunlinpoint/routing/tests/test_admission_control.py
@@ -79,7 +79,7 @@
 
 
 def after_gaps(gap_ms, for_ms, in_flight=20):
-    """A ``AdmissionController`` that recorded gaps of *gap_ms* from 0 to *for_ms*."""
+    """An ``AdmissionController`` that recorded gaps of *gap_ms* from 0 to *for_ms*."""
     found = controller_with(in_flight)
     for now in range(0, for_ms + 1, 50):
         found.record_gap(gap_ms, now)
@@ -151,8 +151,8 @@
 
 
 def test_normal_load_has_none_refused():
-    result = decode_steps.Load(lambda now: 20, lambda now: 1.2)
-    assert decode_steps.play(result, limited=True).refused == 0
+    load = decode_steps.Load(lambda now: 20, lambda now: 1.2)
+    assert decode_steps.play(load, limited=True).refused == 0
 
 
 def jumps(now):
@@ -175,14 +175,14 @@
 @pytest.mark.parametrize("per_s, slow, entries, ranks, gain", OVERLOADS)
 def test_fewer_are_late_near_capacity(per_s, slow, entries, ranks, gain):
     # Guards against more streams in flight than a jump of demand leaves capacity for.
-    score, unlimited = [], []
+    scores, unlimited = [], []
     for seed in range(1, 9):
         load = overload.Load(
             lambda now: per_s, jumps, slow, ranks=ranks, entries=entries, seed=seed
         )
-        score.append(overload.play(load).score)
+        scores.append(overload.play(load).score)
         unlimited.append(overload.play(load, overload.FullAdmission).score)
-    assert statistics.mean(score) > statistics.mean(unlimited) + gain, (
-        score,
+    assert statistics.mean(scores) > statistics.mean(unlimited) + gain, (
+        scores,
         unlimited,
     )
--- a/dunlinpoint/routing/tests/test_groups.py
+++ b/dunlinpoint/routing/tests/test_groups.py
@@ -19,26 +19,26 @@
 
 def test_an_overloaded_zone_uses_groups_with_free_capacity():
     # Guards against an overloaded zone that uses only its own, slow group.
-    place = zones.Deployment(UNEVEN, ACROSS)
-    home = zones.play(place, zones.own_zone_only)
-    found = zones.play(place, zones.divided)
-    assert min(found.values()) > 2 * min(home.values()), (found, home)
+    deployment = zones.Deployment(UNEVEN, ACROSS)
+    own_zone = zones.play(deployment, zones.own_zone_only)
+    found = zones.play(deployment, zones.by_share)
+    assert min(found.values()) > 2 * min(own_zone.values()), (found, own_zone)
     assert min(found.values()) > 0.8
 
 
 def test_load_moves_away_from_a_group_with_a_poor_map():
     # The most loaded rank of one group has 2.6 times the mean load for 8 s.
-    place = zones.Deployment(
+    deployment = zones.Deployment(
         EVEN, ACROSS, lambda group, now: 2.6 if group == "g1" and now > 8000 else 1.5
     )
-    home = zones.play(place, zones.own_zone_only, length_ms=16_000)
-    found = zones.play(place, zones.divided, length_ms=16_000)
-    assert sum(found.values()) > sum(home.values())
+    own_zone = zones.play(deployment, zones.own_zone_only, length_ms=16_000)
+    found = zones.play(deployment, zones.by_share, length_ms=16_000)
+    assert sum(found.values()) > sum(own_zone.values())
 
 
 def test_shares_do_not_oscillate():
     # Guards against all entries sending to the faster group at once.
-    found = zones.play(zones.Deployment(EVEN, ACROSS), zones.divided)
+    found = zones.play(zones.Deployment(EVEN, ACROSS), zones.by_share)
     assert min(found.values()) > 0.97, found
 
 
--- a/dunlinpoint/routing/tests/test_latency.py
+++ b/dunlinpoint/routing/tests/test_latency.py
@@ -28,7 +28,7 @@
 
 def play(per_s=110, **how):
     """Outcomes of the callers of all seeds, by the window of their first attempt."""
-    ends = collections.defaultdict(collections.Counter)
+    outcomes = collections.defaultdict(collections.Counter)
     for seed in SEEDS:
         load = overload.Load(
             lambda now: per_s,
@@ -37,18 +37,18 @@
             entries=30,
             length_ms=22_000,
             seed=seed,
-            engine=overload.ACROSS,
+            engine=overload.THREE_ZONES,
             stalled_ms=STALLED_MS,
             **how,
         )
         for window, counts in overload.play(load).by_window.items():
-            ends[window] += counts
-    return ends
+            outcomes[window] += counts
+    return outcomes
 
 
-def score(ends, windows):
+def score(outcomes, windows):
     """The mean score of the callers of *windows*."""
-    counts = sum((ends[window] for window in windows), collections.Counter())
+    counts = sum((outcomes[window] for window in windows), collections.Counter())
     return (counts["in_time"] + LATE * counts["late"]) / counts.total()
 
 
@@ -68,12 +68,12 @@
 
 @pytest.mark.parametrize("per_s", [80, 95, 110])
 def test_waiting_at_each_attempt_improves_the_worst_seconds_of_an_outage(per_s):
-    def worst(ends):
-        return min(score(ends, [window]) for window in STALLED)
+    def worst(outcomes):
+        return min(score(outcomes, [window]) for window in STALLED)
 
-    sent_off = play(per_s, refuses_first_attempts=True)
-    assert worst(play(per_s)) > worst(sent_off) + 0.1
-    assert score(play(per_s), STALLED) > 0.9 * score(sent_off, STALLED)
+    refused = play(per_s, refuses_first_attempts=True)
+    assert worst(play(per_s)) > worst(refused) + 0.1
+    assert score(play(per_s), STALLED) > 0.9 * score(refused, STALLED)
 
 
 def test_a_caller_is_late_once_its_latency_target_has_passed():
--- a/dunlinpoint/routing/tests/test_overload.py
+++ b/dunlinpoint/routing/tests/test_overload.py
@@ -27,7 +27,7 @@
 
 
 def jumps(now):
-    """Skew of experts: demand jumps each 2.1 s, and two maps follow it."""
+    """The skew of experts: demand jumps every 2.1 s, and two maps follow it."""
     since = now % 2130
     return 3.2 if since < 450 else 1.9 if since < 800 else 1.35
 
--- a/dunlinpoint/routing/tests/test_pick.py
+++ b/dunlinpoint/routing/tests/test_pick.py
@@ -85,16 +85,16 @@
 def test_indexes_follow_the_entries_that_poll():
     known = followers.Followers()
 
-    def place(zone, name, now):
+    def position(zone, name, now):
         """Index and number of entries: in the zone, then in all zones."""
         return attrs.astuple(known.position_of(zone, name, now))
 
-    assert place("z1", "", 0) == (0, 0, 0, 0)
-    assert place("z1", "b", 0) == (0, 1, 0, 1)
-    assert place("z1", "a", 10) == (0, 2, 0, 2)
-    assert place("z2", "a", 10) == (0, 1, 2, 3)
-    assert place("z1", "b", 20) == (1, 2, 1, 3)
-    assert place("z1", "b", 20 + followers.ENTRY_TIMEOUT_MS) == (0, 1, 0, 1)
+    assert position("z1", "", 0) == (0, 0, 0, 0)
+    assert position("z1", "b", 0) == (0, 1, 0, 1)
+    assert position("z1", "a", 10) == (0, 2, 0, 2)
+    assert position("z2", "a", 10) == (0, 1, 2, 3)
+    assert position("z1", "b", 20) == (1, 2, 1, 3)
+    assert position("z1", "b", 20 + followers.ENTRY_TIMEOUT_MS) == (0, 1, 0, 1)
 
 
 def test_a_poll_does_not_renumber_all_entries():
@@ -138,9 +138,9 @@
     group = [member(f"a{i:02}", "a") for i in range(18)]
     group += [member(f"b{i:02}", "b") for i in range(6)]
     got = collections.Counter()
-    for place in range(8):
+    for position in range(8):
         picker = pick.Picker("b")
-        order = endpoint_order.preferred_order_in_group(group, "b", place, 8)
+        order = endpoint_order.preferred_order_in_group(group, "b", position, 8)
         assert not endpoint_order.is_evenly_distributed(group, "b")
         for _ in range(9):
             found = picker.pick(order, 0, prefer_own_zone=False)
--- a/dunlinpoint/routing/tests/zones.py
+++ b/dunlinpoint/routing/tests/zones.py
@@ -44,7 +44,7 @@
     return rng.choices(names, weights)[0]
 
 
-def divided(entry, names, now, rng):
+def by_share(entry, names, now, rng):
     return entry.choose(names, now, False, rng)
 
 
