--- a/dunlinpoint/routing/tests/passes.py
+++ b/dunlinpoint/routing/tests/decode_steps.py
@@ -1,8 +1,8 @@
-"""A seeded model of a group whose passes get longer with every stream.
+"""A seeded model of a group whose steps get longer with every stream.
 
-Each pass gives every stream one event. What is read off is how many streams
-were in time: every pause no longer than allowed. The figures of a pass are
-those of the engines that our users run.
+Each step gives every stream one event. The result is how many streams were in time:
+no inter-event gap longer than allowed. The figures of a step are those of engines in
+use.
 """
 
 import random
@@ -15,15 +15,15 @@
 STEP_MS = 5.85
 STREAM_MS = 0.71
 EXPERT_SHARE = 0.85
-# Reading prompts takes so much longer of a pass for each that begins in it.
+# Time in a step for reading the prompt of each stream that begins in it.
 READ_MS = 8.4
 EVENTS = 28
-ALLOWED_MS = 120
+MAX_GAP_MS = 120
 
 
 @attrs.define
 class Load:
-    """Arrivals a second over the length of a day, and the skew of experts."""
+    """Arrivals a second and the skew of experts, as functions of the time (ms)."""
 
     per_s: object
     skew: object
@@ -35,7 +35,7 @@
 
 @attrs.define
 class Result:
-    """What became of the streams."""
+    """Outcomes of the streams."""
 
     in_time: int = 0
     late: int = 0
@@ -46,48 +46,48 @@
         return self.in_time / (self.in_time + self.late + self.refused)
 
 
-def pass_ms(streams, began, skew, ranks):
-    """How long a pass takes with so many streams over all ranks."""
+def step_length_ms(streams, began, skew, ranks):
+    """How long (ms) a step takes with *streams* over all *ranks*."""
     busiest = streams / ranks + 1
     own = STEPS * (STEP_MS + STREAM_MS * busiest + READ_MS * min(1, began / ranks))
     return own * (1 - EXPERT_SHARE + EXPERT_SHARE * skew)
 
 
 def play(load, limited):
-    """Play *load*, with entries that keep to their pace or let everyone in."""
+    """Simulate *load*, with admission control at entries if *limited*."""
     rng = random.Random(load.seed)
-    paces = [
-        admission_control.AdmissionController(ALLOWED_MS) for _ in range(load.entries)
+    controllers = [
+        admission_control.AdmissionController(MAX_GAP_MS) for _ in range(load.entries)
     ]
     streams, result, now = [], Result(), 0.0
     began = 0
     while now < load.length_ms:
-        took = pass_ms(len(streams), began, load.skew(now), load.ranks)
+        took = step_length_ms(len(streams), began, load.skew(now), load.ranks)
         now += took
         for stream in streams:
             stream[1] -= 1
-            stream[2] |= took > ALLOWED_MS
-            paces[stream[0]].record_gap(took, int(now))
+            stream[2] |= took > MAX_GAP_MS
+            controllers[stream[0]].record_gap(took, int(now))
         for entry, left, was_late in streams:
             if not left:
-                paces[entry].ended()
+                controllers[entry].ended()
                 result.late += was_late
                 result.in_time += not was_late
         streams = [s for s in streams if s[1]]
         began = 0
         for _ in range(arrivals(rng, load.per_s(now) * took / 1000)):
             entry = rng.randrange(load.entries)
-            if limited and not paces[entry].has_room(int(now), rng):
+            if limited and not controllers[entry].admits(int(now), rng):
                 result.refused += 1
                 continue
-            paces[entry].began()
+            controllers[entry].began()
             streams.append([entry, EVENTS, False])
             began += 1
     return result
 
 
 def arrivals(rng, mean):
-    """How many of *mean* expected arrivals come."""
+    """The number of arrivals, drawn from a Poisson distribution with *mean*."""
     count, total = 0, rng.expovariate(1)
     while total < mean:
         count += 1
--- a/dunlinpoint/routing/tests/overload.py
+++ b/dunlinpoint/routing/tests/overload.py
@@ -1,11 +1,12 @@
-"""A seeded model of one group of ranks near its limit, and of callers that come back.
-
-Every pass gives each stream an event. How long it takes follows from the engine's
-published figures: what the busiest rank does by itself, and what the most loaded
-rank does of the experts' part, set by set, which is *skew* times the mean. A stream
-waits for a slot while all are taken. It is in time if its first event comes within the
-aim, counted from its caller's first attempt, and no pause is longer than allowed. A
-caller that is refused comes back once, when told to, and is lost if refused again.
+"""A seeded model of one group of ranks near its capacity, and of callers that retry.
+
+Every step gives each stream an event. The length of a step follows from the engine's
+published figures: the work of the busiest rank by itself, and the experts' work of the
+most loaded rank, set by set, which is *skew* times the mean. A stream waits for a slot
+while all are taken. It is in time if its first event comes within the latency target,
+counted from its caller's first attempt, and no inter-event gap is longer than allowed.
+A caller that is refused retries once, after its Retry-After, and is lost if it is
+refused again.
 """
 
 import collections
@@ -16,27 +17,28 @@
 
 from dunlinpoint.forward import capacity
 from dunlinpoint.routing import admission_control, latency, outage
-from dunlinpoint.routing.tests import passes
+from dunlinpoint.routing.tests import decode_steps
 
-# The way to the engine and back, and what the busiest rank has over the mean.
-WAY_MS = 8
-BUSIEST = 1.2
+# The round trip to the engine, and the load of the busiest rank over the mean.
+ROUND_TRIP_MS = 8
+BUSIEST_LOAD = 1.2
 EXPERT_SHARE = 0.85
-# What a late stream is worth to its caller, and what one refused twice costs.
+# The score of a late stream, and of a caller refused twice; one in time scores 1.
 LATE = 0.25
 REFUSED_TWICE = -0.3
 WINDOW_MS = 2000
-# How long a caller has, and how often the model looks at a group that stands.
+# A caller's timeout, and the time step of the model while the group is stalled.
 TIMEOUT_MS = 8000
 TICK_MS = 25
 
 
 @attrs.frozen
 class Engine:
-    """An engine, and what is asked of it.
+    """An engine, and the size of its streams.
 
-    A pass makes ``steps`` steps of ``step_ms`` and so much more for each stream of a
-    rank; ``events``, ``most_events`` and ``prompt`` (tokens) are a stream's size.
+    A step of the group makes ``steps`` engine steps of ``step_ms`` plus ``stream_ms``
+    for each stream of a rank. ``events`` (mean) and ``most_events`` are the number of
+    events of a stream, ``prompt`` the mean number of tokens of its prompt.
     """
 
     step_ms: float = 4.55
@@ -47,25 +49,25 @@
     events: float = 24
     most_events: int = 61
     prompt: float = 835
-    aim_ms: int = 503
-    allowed_ms: int = 120
+    latency_target_ms: int = 503
+    max_gap_ms: int = 120
 
-    def pass_ms(self, writing, read_tokens, skew, slow, ranks):
-        """How long a pass of *writing* streams takes that reads *read_tokens*."""
+    def step_length_ms(self, writing, read_tokens, skew, slow, ranks):
+        """How long a step takes with *writing* streams and *read_tokens* to read."""
         work = self.steps * self.stream_ms * writing / ranks
         read = read_tokens / self.read_per_ms / ranks
         own = self.steps * self.step_ms
-        own += (1 - EXPERT_SHARE) * (BUSIEST * work + 3 * read)
+        own += (1 - EXPERT_SHARE) * (BUSIEST_LOAD * work + 3 * read)
         return own * slow + EXPERT_SHARE * (work + read) * max(skew, slow)
 
 
 SMALL = Engine()
-# Of a group of 72 ranks.
+# For a group of 72 ranks.
 WIDE = Engine(
-    steps=5, stream_ms=2.18, slots=5, events=19.4, most_events=48, allowed_ms=150
+    steps=5, stream_ms=2.18, slots=5, events=19.4, most_events=48, max_gap_ms=150
 )
-# Of one group of 63 ranks over three zones.
-ACROSS = Engine(
+# For one group of 63 ranks in three zones.
+THREE_ZONES = Engine(
     step_ms=5.85,
     steps=6,
     stream_ms=0.85,
@@ -74,10 +76,10 @@
     events=23,
     most_events=58,
     prompt=840,
-    aim_ms=406,
-    allowed_ms=120,
+    latency_target_ms=406,
+    max_gap_ms=120,
 )
-# Of groups of 64 ranks with few slots and long steps.
+# For groups of 64 ranks with few slots and long steps.
 LARGE = Engine(
     step_ms=5.85,
     steps=8,
@@ -86,18 +88,19 @@
     slots=3,
     events=17,
     most_events=43,
-    aim_ms=509,
-    allowed_ms=150,
+    latency_target_ms=509,
+    max_gap_ms=150,
 )
 
 
 @attrs.define
 class Load:
-    """A day: arrivals a second, skew of experts, and how slow the slowest rank is.
+    """A run: arrivals a second, skew of experts, and slowdown of the slowest rank.
 
-    The group stands from and to ``stands_ms``. The last three play other ways than the
-    entries': whether a caller's first try waits for the group, what part of an entry's
-    slots late callers may take, and whether these are less urgent to endpoints.
+    The group is stalled during ``stalled_ms`` (from, to). The last three fields set
+    alternatives to the entries' behaviour: whether a caller's first attempt is refused
+    instead of waiting for the group, the fraction of an entry's slots that late callers
+    may take, and whether endpoints serve these last.
     """
 
     per_s: object
@@ -108,52 +111,52 @@
     length_ms: int = 30_000
     seed: int = 1
     engine: Engine = SMALL
-    stands_ms: tuple | None = None
-    sends_off_at_first: bool = False
-    late_share: float = latency.SLOTS_SHARE
-    late_are_last: bool = True
+    stalled_ms: tuple | None = None
+    refuses_first_attempts: bool = False
+    late_slots_fraction: float = latency.LATE_SLOTS_FRACTION
+    late_served_last: bool = True
 
     def is_stalled(self, now):
-        """Whether nothing begins at *now*."""
-        if self.stands_ms is None:
+        """Whether the group is stalled at *now*."""
+        if self.stalled_ms is None:
             return False
-        return self.stands_ms[0] <= now < self.stands_ms[1]
+        return self.stalled_ms[0] <= now < self.stalled_ms[1]
 
     def opened_recently(self, now):
-        """Whether callers are about that waited for the group to open."""
-        if self.stands_ms is None:
+        """Whether there may be callers that waited for the group to open."""
+        if self.stalled_ms is None:
             return False
-        return 0 <= now - self.stands_ms[1] < outage.BACKLOG_DRAIN_MS
+        return 0 <= now - self.stalled_ms[1] < outage.BACKLOG_DRAIN_MS
 
 
 @attrs.define
 class Result:
-    """What became of the callers, by the window in which each asked first."""
+    """Outcomes of the callers, by the window of their first attempt."""
 
     by_window: dict = attrs.field(
         factory=lambda: collections.defaultdict(collections.Counter)
     )
 
     def count(self, caller, kind):
-        """One caller's end: ``in_time``, ``latency`` or ``lost``."""
-        self.by_window[int(caller.asked_ms // WINDOW_MS)][kind] += 1
+        """Count the outcome of a caller: ``in_time``, ``late`` or ``lost``."""
+        self.by_window[int(caller.first_attempt_ms // WINDOW_MS)][kind] += 1
 
     def total(self, kind):
-        """How many callers ended so."""
+        """The number of callers with the outcome *kind*."""
         return sum(window[kind] for window in self.by_window.values())
 
     @property
-    def asked(self):
+    def callers(self):
         return sum(window.total() for window in self.by_window.values())
 
     @property
-    def worth(self):
-        """Mean worth of a caller."""
-        latency, lost = LATE * self.total("late"), REFUSED_TWICE * self.total("lost")
-        return (self.total("in_time") + latency + lost) / self.asked
+    def score(self):
+        """The mean score of a caller."""
+        late, lost = LATE * self.total("late"), REFUSED_TWICE * self.total("lost")
+        return (self.total("in_time") + late + lost) / self.callers
 
     def share_in_time(self, window):
-        """The part of those in time who asked in one window."""
+        """The fraction in time of the callers of one window."""
         found = self.by_window[window]
         return found["in_time"] / max(1, found.total())
 
@@ -163,68 +166,74 @@
     """One caller's stream."""
 
     entry: int
-    asked_ms: float
+    first_attempt_ms: float
     events: int
     prompt: int
     draw: float
-    returned: bool = False
+    is_retry: bool = False
     is_past_latency_target: bool = False
     last_ms: float | None = None
-    came_ms: float = 0.0
+    attempt_ms: float = 0.0
     turn: tuple | None = None
-    waits_its_turn: bool = False
+    is_queued: bool = False
 
     def __attrs_post_init__(self):
-        self.came_ms = self.asked_ms
+        self.attempt_ms = self.first_attempt_ms
 
     def end(self, now):
-        """What becomes of the caller of a stream that is whole at *now*."""
-        if now - self.asked_ms > TIMEOUT_MS:
+        """The outcome of the caller of a stream that is complete at *now*."""
+        if now - self.first_attempt_ms > TIMEOUT_MS:
             return "lost"
         return "late" if self.is_past_latency_target else "in_time"
 
-    def is_past_aim(self, engine, now):
-        """Whether its first event can't be in time any more."""
-        return latency.is_past_latency_target(self.asked_ms - now, 0, engine.aim_ms)
+    def cannot_meet_target(self, engine, now):
+        """Whether its first event can't come within the latency target any more."""
+        return latency.is_past_latency_target(
+            self.first_attempt_ms - now, 0, engine.latency_target_ms
+        )
 
     def wait_until(self, engine):
-        """Until when its caller waits at its entry for room, as in :mod:`capacity`."""
-        if not self.waits_its_turn:
-            return self.came_ms + capacity.WAIT_SHARE * engine.aim_ms
-        return self.leaves_ms(engine)
-
-    def leaves_ms(self, engine):
-        """When its caller would leave before the first event comes."""
-        event_timeout_ms = outage.event_timeout_ms(engine.aim_ms, engine.allowed_ms)
-        until_ms = self.came_ms + event_timeout_ms - outage.FIRST_EVENT_RESERVE_MS
-        return min(until_ms, self.asked_ms + TIMEOUT_MS - outage.TYPICAL_ANSWER_MS)
+        """When its caller stops waiting here for capacity, as in :mod:`capacity`."""
+        if not self.is_queued:
+            return self.attempt_ms + capacity.WAIT_SHARE * engine.latency_target_ms
+        return self.gives_up_ms(engine)
+
+    def gives_up_ms(self, engine):
+        """When its caller would give up without a first event."""
+        event_timeout_ms = outage.event_timeout_ms(
+            engine.latency_target_ms, engine.max_gap_ms
+        )
+        until_ms = self.attempt_ms + event_timeout_ms - outage.FIRST_EVENT_RESERVE_MS
+        return min(
+            until_ms, self.first_attempt_ms + TIMEOUT_MS - outage.TYPICAL_ANSWER_MS
+        )
 
 
 @attrs.define
 class Entry:
-    """One entry: who it lets in by passes, and which late callers wait there."""
+    """One entry: its admission control, and its queue of late callers."""
 
     controller: object
     queue: latency.Queue = attrs.field(factory=latency.Queue)
 
-    def lets_in(self, load, stream, now):
+    def accepts(self, load, stream, now):
         """Whether *stream* is not refused at once."""
         if load.opened_recently(now):
             return True
         return (
-            self.controller.long_window_admitted_share(now, stream.returned)
+            self.controller.long_window_admitted_share(now, stream.is_retry)
             > stream.draw
         )
 
-    def has_room(self, stream, now, rng, engine, entry_slots):
-        """Whether *stream* begins now."""
-        if not self.controller.has_room(now, rng, stream.returned):
+    def admits(self, stream, now, rng, engine, entry_slots):
+        """Whether *stream* is admitted now."""
+        if not self.controller.admits(now, rng, stream.is_retry):
             return False
-        if not stream.waits_its_turn:
+        if not stream.is_queued:
             return True
         if stream.turn is None:
-            until_ms = stream.leaves_ms(engine)
-            stream.turn = not stream.returned, until_ms, id(stream)
+            until_ms = stream.gives_up_ms(engine)
+            stream.turn = not stream.is_retry, until_ms, id(stream)
             self.queue.enter(stream.turn)
         return (
             self.queue.ahead_of(stream.turn) + 1
@@ -232,44 +241,44 @@
         )
 
     def leave(self, stream):
-        """*stream* waits for no slot here any more."""
+        """Remove *stream* from the queue."""
         if stream.turn is not None:
             self.queue.leave(stream.turn)
             stream.turn = None
 
 
 def waits(load, stream, now):
-    """Whether the caller of *stream* waits here while its group stands."""
-    if load.sends_off_at_first and not stream.returned:
+    """Whether the caller of *stream* waits here while its group is stalled."""
+    if load.refuses_first_attempts and not stream.is_retry:
         return False
-    return now < stream.leaves_ms(load.engine)
+    return now < stream.gives_up_ms(load.engine)
 
 
 def play(load, make_pace=admission_control.AdmissionController):
-    """Play *load* with entries that admit by ``make_pace(allowed_ms)``."""
+    """Simulate *load* with entries that admit by ``make_pace(max_gap_ms)``."""
     engine = load.engine
     rng = random.Random(load.seed)
     weights = [rng.uniform(0.5, 1.5) for _ in range(load.entries)]
-    entries = [Entry(make_pace(engine.allowed_ms)) for _ in range(load.entries)]
-    entry_slots = load.late_share * engine.slots * load.ranks / load.entries
+    entries = [Entry(make_pace(engine.max_gap_ms)) for _ in range(load.entries)]
+    entry_slots = load.late_slots_fraction * engine.slots * load.ranks / load.entries
     result, now = Result(), 0.0
     running, queued, coming = [], [], []
     while now < load.length_ms:
-        stands = load.is_stalled(now)
-        if stands:
-            lose(running + queued, entries, result)
+        stalled = load.is_stalled(now)
+        if stalled:
+            count_lost(running + queued, entries, result)
             running, queued, took = [], [], TICK_MS
         else:
-            if load.late_are_last:
+            if load.late_served_last:
                 queued.sort(key=lambda stream: stream.is_past_latency_target)
             began, queued = split(queued, engine.slots * load.ranks - len(running))
             running += began
             read = sum(s.prompt for s in began)
             skew, slow = load.skew(now), load.slow(now)
-            took = engine.pass_ms(len(running), read, skew, slow, load.ranks)
-        for _ in range(passes.arrivals(rng, load.per_s(now) * took / 1000)):
-            caller = fresh(rng, load, weights, now + rng.random() * took)
-            heapq.heappush(coming, (caller.asked_ms, rng.random(), caller))
+            took = engine.step_length_ms(len(running), read, skew, slow, load.ranks)
+        for _ in range(decode_steps.arrivals(rng, load.per_s(now) * took / 1000)):
+            caller = first_attempt(rng, load, weights, now + rng.random() * took)
+            heapq.heappush(coming, (caller.first_attempt_ms, rng.random(), caller))
         now += took
         for stream in running:
             step(engine, stream, now, entries[stream.entry].controller, result)
@@ -277,82 +286,84 @@
         while coming and coming[0][0] <= now:
             at, _, caller = heapq.heappop(coming)
             entry = entries[caller.entry]
-            if stands:
-                lets_in, has_room, stays = True, False, waits(load, caller, at)
+            if stalled:
+                accepted, is_admitted, stays = True, False, waits(load, caller, at)
             else:
-                lets_in = entry.lets_in(load, caller, now)
-                caller.waits_its_turn = load.opened_recently(
+                accepted = entry.accepts(load, caller, now)
+                caller.is_queued = load.opened_recently(
                     now
-                ) and caller.is_past_aim(engine, now)
-                has_room = lets_in and entry.has_room(
+                ) and caller.cannot_meet_target(engine, now)
+                is_admitted = accepted and entry.admits(
                     caller, now, rng, engine, entry_slots
                 )
-                stays = lets_in and at < caller.wait_until(engine)
-            if stays and not has_room:
+                stays = accepted and at < caller.wait_until(engine)
+            if stays and not is_admitted:
                 heapq.heappush(
                     coming, (at + capacity.POLL_INTERVAL_MS, rng.random(), caller)
                 )
                 continue
             entry.leave(caller)
-            if has_room:
+            if is_admitted:
                 entry.controller.began()
-                caller.is_past_latency_target = caller.is_past_aim(engine, now)
+                caller.is_past_latency_target = caller.cannot_meet_target(engine, now)
                 queued.append(caller)
                 continue
-            if caller.returned:
+            if caller.is_retry:
                 result.count(caller, "lost")
                 continue
-            again_ms = send_away(rng, load, caller, at, weights, not lets_in)
-            heapq.heappush(coming, (again_ms, rng.random(), caller))
+            retry_at_ms = refuse(rng, load, caller, at, weights, not accepted)
+            heapq.heappush(coming, (retry_at_ms, rng.random(), caller))
     return result
 
 
-def lose(streams, entries, result):
-    """The group broke: *streams* are broken off, and their callers have gone."""
+def count_lost(streams, entries, result):
+    """Count *streams* as lost: the group broke, and their callers have given up."""
     for stream in streams:
         entries[stream.entry].controller.ended()
         result.count(stream, "lost")
 
 
-def send_away(rng, load, caller, at, weights, lasting):
-    """Refuse *caller* at *at*; when it comes back, at another entry."""
-    caller.returned = True
+def refuse(rng, load, caller, at, weights, is_overload):
+    """Refuse *caller* at *at*; return when it retries, at an entry drawn anew."""
+    caller.is_retry = True
     caller.entry = rng.choices(range(len(weights)), weights)[0]
     caller.draw = rng.random()
-    left_ms = caller.asked_ms + TIMEOUT_MS - at
+    left_ms = caller.first_attempt_ms + TIMEOUT_MS - at
     if load.is_stalled(at):
-        wait_ms = outage.outage_retry_after_ms(load.stands_ms[0], at, left_ms, rng)
+        wait_ms = outage.outage_retry_after_ms(load.stalled_ms[0], at, left_ms, rng)
     else:
         wait_ms = rng.uniform(
-            *(capacity.OVERLOAD_RETRY_MS if lasting else capacity.RETRY_MS)
+            *(capacity.OVERLOAD_RETRY_MS if is_overload else capacity.RETRY_MS)
         )
-    caller.came_ms = at + min(wait_ms, outage.max_retry_after_ms(left_ms))
-    return caller.came_ms
+    caller.attempt_ms = at + min(wait_ms, outage.max_retry_after_ms(left_ms))
+    return caller.attempt_ms
 
 
-def step(engine, stream, now, control, result):
-    """One event of *stream* at *now*."""
+def step(engine, stream, now, controller, result):
+    """Give *stream* one event at *now*."""
     if stream.last_ms is None:
-        stream.is_past_latency_target |= now + WAY_MS - stream.asked_ms > engine.aim_ms
+        stream.is_past_latency_target |= (
+            now + ROUND_TRIP_MS - stream.first_attempt_ms > engine.latency_target_ms
+        )
     else:
-        pause_ms = now - stream.last_ms
-        stream.is_past_latency_target |= pause_ms > engine.allowed_ms
-        control.record_gap(pause_ms, int(now))
+        gap_ms = now - stream.last_ms
+        stream.is_past_latency_target |= gap_ms > engine.max_gap_ms
+        controller.record_gap(gap_ms, int(now))
     stream.last_ms = now
     stream.events -= 1
     if stream.events <= 0:
-        control.ended()
+        controller.ended()
         result.count(stream, stream.end(now))
 
 
 def split(items, count):
-    """The first *count* of *items*, and the others."""
+    """The first *count* of *items*, and the rest."""
     count = max(0, count)
     return items[:count], items[count:]
 
 
-def fresh(rng, load, weights, at):
-    """A caller that asks for the first time."""
+def first_attempt(rng, load, weights, at):
+    """A caller's first attempt."""
     engine = load.engine
     events = min(engine.most_events, 1 + int(rng.expovariate(1 / engine.events)))
     prompt = int(rng.expovariate(1 / engine.prompt))
@@ -360,13 +371,13 @@
     return Stream(entry, at, events, prompt, rng.random())
 
 
-class AllIn:
-    """Admission that lets everyone in."""
+class FullAdmission:
+    """Admission control that admits every request."""
 
-    def __init__(self, allowed_ms):
+    def __init__(self, max_gap_ms):
         pass
 
-    def record_gap(self, pause_ms, now):
+    def record_gap(self, gap_ms, now):
         pass
 
     def began(self):
@@ -375,8 +386,8 @@
     def ended(self):
         pass
 
-    def long_window_admitted_share(self, now, returned):
+    def long_window_admitted_share(self, now, is_retry):
         return 1.0
 
-    def has_room(self, now, rng, returned):
+    def admits(self, now, rng, is_retry):
         return True
--- a/dunlinpoint/routing/tests/test_groups.py
+++ b/dunlinpoint/routing/tests/test_groups.py
@@ -1,11 +1,11 @@
-"""How streams are divided over groups of ranks."""
+"""Distribution of streams over groups of ranks."""
 
 import random
 
 from dunlinpoint.routing import admission_control, groups
 from dunlinpoint.routing.tests import zones
 
-# Four zones of 18 endpoints each, and three groups of 24 that lie across them; the
+# Four zones of 18 endpoints each, and three groups of 24 that extend over them. The
 # callers of two zones send more than those of the others.
 ACROSS = {
     "g1": {"a": 18, "b": 6},
@@ -17,53 +17,53 @@
 EVEN = {"a": 30, "b": 30, "c": 30, "d": 30}
 
 
-def test_a_crowded_zone_sends_on_to_groups_that_have_room():
-    # Guards against a crowded zone that keeps to its own group, slow as it is.
-    place = zones.Deployment(UNEVEN, ACROSS)
-    home = zones.play(place, zones.home_only)
-    found = zones.play(place, zones.divided)
-    assert min(found.values()) > 2 * min(home.values()), (found, home)
+def test_an_overloaded_zone_uses_groups_with_free_capacity():
+    # Guards against an overloaded zone that uses only its own, slow group.
+    deployment = zones.Deployment(UNEVEN, ACROSS)
+    own_zone = zones.play(deployment, zones.own_zone_only)
+    found = zones.play(deployment, zones.by_share)
+    assert min(found.values()) > 2 * min(own_zone.values()), (found, own_zone)
     assert min(found.values()) > 0.8
 
 
-def test_one_group_with_a_poor_map_is_relieved():
-    # One group's most loaded rank has 2.6 times the mean for 8 s.
-    place = zones.Deployment(
+def test_load_moves_away_from_a_group_with_a_poor_map():
+    # The most loaded rank of one group has 2.6 times the mean load for 8 s.
+    deployment = zones.Deployment(
         EVEN, ACROSS, lambda group, now: 2.6 if group == "g1" and now > 8000 else 1.5
     )
-    home = zones.play(place, zones.home_only, length_ms=16_000)
-    found = zones.play(place, zones.divided, length_ms=16_000)
-    assert sum(found.values()) > sum(home.values())
+    own_zone = zones.play(deployment, zones.own_zone_only, length_ms=16_000)
+    found = zones.play(deployment, zones.by_share, length_ms=16_000)
+    assert sum(found.values()) > sum(own_zone.values())
 
 
-def test_shares_do_not_swing():
-    # Guards against all entries running to the quicker group at once.
-    found = zones.play(zones.Deployment(EVEN, ACROSS), zones.divided)
+def test_shares_do_not_oscillate():
+    # Guards against all entries sending to the faster group at once.
+    found = zones.play(zones.Deployment(EVEN, ACROSS), zones.by_share)
     assert min(found.values()) > 0.97, found
 
 
-def test_while_all_are_quick_streams_stay_in_their_zone():
-    calm = groups.Groups(120)
-    calm.update({"g1": 24, "g2": 24}, {"g1": 24}, SLOTS)
+def test_streams_stay_in_their_zone_while_all_groups_are_fast():
+    found = groups.Groups(120)
+    found.update({"g1": 24, "g2": 24}, {"g1": 24}, SLOTS)
     for now in range(0, 60_000, 125):
-        calm.record_gap("g1", 50, now)
-        calm.record_gap("g2", 50, now)
-    assert calm.share_by_group["g1"] > 0.9
-    assert calm.share_by_group["g2"] >= groups.LEAST_SHARE
+        found.record_gap("g1", 50, now)
+        found.record_gap("g2", 50, now)
+    assert found.share_by_group["g1"] > 0.9
+    assert found.share_by_group["g2"] >= groups.MIN_SHARE
 
 
-def test_a_group_without_room_is_passed_over():
+def test_a_group_without_capacity_is_not_chosen():
     found = groups.Groups(120)
     found.update({"g1": 24, "g2": 24}, {"g1": 24}, SLOTS)
     full = found.controller("g1")
     full.in_flight = 9
-    full.record_gap(admission_control.NONE_IN * 120, 1000)
+    full.record_gap(admission_control.NO_ADMISSION * 120, 1000)
     rng = random.Random(1)
     assert {found.choose(["g1", "g2"], 1000, False, rng) for _ in range(9)} == {"g2"}
     assert found.choose(["g1"], 1000, False, rng) is None
 
 
-def test_groups_that_are_gone_are_forgotten():
+def test_unknown_groups_are_removed():
     found = groups.Groups(120)
     found.update({"": 3}, {"": 3}, SLOTS)
     found.update({"g1": 24, "g2": 24}, {"g2": 24}, SLOTS)
@@ -71,8 +71,8 @@
     assert abs(sum(found.share_by_group.values()) - 1) < 0.01
 
 
-def test_streams_of_a_forgotten_group_leave_nothing_behind():
-    # Guards against a count of streams in flight that falls below none.
+def test_streams_of_a_removed_group_do_not_count():
+    # Guards against a negative number of streams in flight.
     found = groups.Groups(120)
     found.update({"g1": 24}, {"g1": 24}, SLOTS)
     found.controller("g1").began()
--- a/dunlinpoint/suspects/tests/test_sharing.py
+++ b/dunlinpoint/suspects/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""How reports on requests reach the controls."""
+"""Delivery of crash reports to the controls."""
 
 import attrs
 from twisted.internet import defer, task
@@ -10,7 +10,7 @@
 
 @attrs.define
 class Link:
-    """A control that takes reports, or is out of reach."""
+    """A control that accepts reports, or is unreachable."""
 
     reached: bool = True
     taken: list = attrs.field(factory=list)
@@ -43,21 +43,21 @@
     return reactor, sharing.Sharing(View(controls), clock.Clock(reactor))
 
 
-def report(life, at_ms=0):
-    return sharing.PendingReport(b"d", life, at_ms)
+def report(incarnation, at_ms=0):
+    return sharing.PendingReport(b"d", incarnation, at_ms)
 
 
-def test_every_control_in_reach_is_told():
+def test_every_reachable_control_gets_the_reports():
     near, away, cut = Link(), Link(), Link(reached=False)
     _, found = entry(near, away, cut)
     found.publish([report("a")])
     assert near.taken == away.taken == [("a", 0)]
-    assert found.waiting == []
+    assert found.pending == []
 
 
-def test_reports_wait_for_a_control_and_keep_their_time():
-    # Sequence: an entry is cut off from all controls when an endpoint ends, and another
-    # ends before it reaches one again.
+def test_pending_reports_keep_their_time():
+    # No control is reachable from the entry when an endpoint crashes, and another
+    # endpoint crashes before one is reachable again.
     link = Link(reached=False)
     reactor, found = entry(link)
     found.publish([report("a")])
@@ -66,12 +66,12 @@
     link.reached = True
     reactor.advance(sharing.RETRY_MS / 1000 - 0.2)
     assert link.taken == [("a", 500), ("b", 300)]
-    assert found.waiting == [] and not found.is_telling
+    assert found.pending == [] and not found.is_sending
 
 
-def test_reports_that_wait_are_bounded(monkeypatch):
-    monkeypatch.setattr(sharing, "MAX_WAITING", 3)
+def test_pending_reports_are_bounded(monkeypatch):
+    monkeypatch.setattr(sharing, "MAX_PENDING", 3)
     _, found = entry(Link(reached=False))
-    for life in "abcde":
-        found.publish([report(life)])
-    assert [waiting.incarnation for waiting in found.waiting] == ["c", "d", "e"]
+    for incarnation in "abcde":
+        found.publish([report(incarnation)])
+    assert [pending.incarnation for pending in found.pending] == ["c", "d", "e"]
