--- a/dunlinpoint/entry/__init__.py
+++ b/dunlinpoint/entry/__init__.py
@@ -1,10 +1,11 @@
-"""The entry: callers' HTTP, one of several per zone behind the platform's balancer.
+"""The entry: serves callers' HTTP requests.
+
+Each zone has several entries behind the platform's load balancer.
 
 ==============  ==========================================================
 module          holds
 ==============  ==========================================================
-``view``        members and the document in force, polled from control
-``routing``     which agent gets a request
-``app``         the HTTP interface and the request paths
+``app``         the HTTP interface and the handling of requests
+``limits``      limits on requests in flight by workspace
 ==============  ==========================================================
 """
--- a/dunlinpoint/entry/app.py
+++ b/dunlinpoint/entry/app.py
@@ -7,9 +7,9 @@
   service call.
 - ``GET /v1/status`` shows the zone, the document version and counters.
 
-Answers that end a request early are final and immediate: 503 with
-``Retry-After`` and ``"outcome": "not_run"`` only when no agent started the
-work; 504 with ``"outcome": "unknown"`` when it may have run.
+A response that ends a request early is sent at once and is final: 503 with
+``Retry-After`` and ``"outcome": "not_run"`` only if no agent started the request;
+504 with ``"outcome": "unknown"`` if it may have run.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 @attrs.define
 class Entry:
-    """An entry's state: its view, links to agents by address, counters."""
+    """State of an entry: its view, links to agents by address, and counters."""
 
     reactor: object
     zone: str
@@ -56,7 +56,7 @@
 
     @classmethod
     def from_config(cls, reactor, zone, controls, counters):
-        """An entry in *zone* following the controls at *controls*."""
+        """Return an entry in *zone* that polls the controls at *controls*."""
         entry = cls(
             reactor,
             zone,
@@ -70,17 +70,17 @@
         return entry
 
     def take(self, document):
-        """Put a newer document's workspace limits in force."""
+        """Apply the workspace limits of a newer document."""
         doc = config.parse(packed.unpack(document.body))
         self.work.limit_by_name = {w.name: w.max_in_flight for w in doc.workspaces}
 
     def link(self, member):
-        """The thrift link to *member*'s agent."""
+        """Return the thrift link to the agent of *member*."""
         return self.links.to(member.host, member.port)
 
 
 def final(request, status, body, retry_after_s=None):
-    """Write a final JSON answer with *status*."""
+    """Set status and headers of a final response; return the JSON body."""
     request.setResponseCode(status)
     request.setHeader("content-type", "application/json")
     if retry_after_s is not None:
@@ -90,11 +90,11 @@
 
 @defer.inlineCallbacks
 def start(entry, order):
-    """Start *order* on some engine agent; the member that took it, or ``None``.
+    """Start *order* at an engine agent; return its member, or ``None``.
 
-    Only certain refusals and failed connections are retried on another
-    agent: the work did not start there. A lost answer to ``start`` is
-    retried on the same agent, where starting is idempotent by request id.
+    Another agent is tried only after a refusal or a failed connection, since the
+    request certainly did not start there. If the response to ``start`` is lost, the
+    same agent is tried again, where ``start`` is idempotent by request id.
     """
     tried = set()
     for _ in range(START_TRIES):
@@ -127,7 +127,7 @@
 
 
 def make_app(entry):
-    """The Klein app of *entry*."""
+    """Return the Klein app of *entry*."""
     web = Klein()
 
     @web.route("/v1/generate", methods=["POST"])
@@ -164,8 +164,8 @@
             last = yield relay(entry, request, member, request_id)
             return json.dumps(last).encode() + b"\n"
         except defer.CancelledError:
-            # Klein cancels a request whose caller closed the connection. The
-            # engine would write the rest of the answer for nobody.
+            # Klein cancels a request whose caller closed the connection. Without the
+            # ``cancel`` the engine would go on generating tokens that nobody reads.
             entry.counters.incr("caller_left")
             if member is not None:
                 entry.link(member).call("cancel", request_id).addErrback(
@@ -217,11 +217,11 @@
 
 @defer.inlineCallbacks
 def relay(entry, request, member, request_id):
-    """Copy the stream of *request_id* to the caller; the final line's dict.
+    """Copy the stream of *request_id* to the caller; return the final line's dict.
 
-    Each piece is checked for its request id and offset before it is
-    written: a late or repeated read answer carries an offset already sent
-    and is dropped, so the caller sees its own tokens once each, in order.
+    The request id and offset of each chunk are checked before it is written: a
+    delayed or repeated response to ``read`` has an offset that was already sent and
+    is dropped, so the caller receives each of its own tokens once and in order.
     """
     offset = 0
     failures = 0
@@ -264,12 +264,14 @@
 
 @defer.inlineCallbacks
 def call_service(entry, order):
-    """Route one service call; ``(status, answer dict, retry_after or None)``.
+    """Route one service call.
 
-    A non-idempotent call goes to its key's owner only. An idempotent call
-    whose agent cannot answer is tried on the next agent in the key's
-    rendezvous order: repeating it harms nothing, and a caller should not
-    be told "unknown" about a lookup that another agent can do.
+    Returns ``(status, response dict, Retry-After in seconds or None)``.
+
+    A non-idempotent call is sent only to the owner of its key. If the agent of an
+    idempotent call cannot answer, the next agent in the rendezvous order of the key
+    is tried: repeating the call is safe, and a caller should not receive "unknown"
+    for a lookup that another agent can serve.
     """
     key = order.idempotency_key or order.request_id
     ranked = owners.owners(entry.view.live("service"), key)
@@ -290,7 +292,10 @@
 
 @defer.inlineCallbacks
 def call_one(entry, member, order, key):
-    """One try of a service call at *member*."""
+    """Make one attempt of a service call at *member*.
+
+    Returns the same as :func:`call_service`.
+    """
     try:
         result = yield entry.link(member).call("call", order)
     except ttypes.Refused as refused:
@@ -310,7 +315,7 @@
         try:
             body = json.loads(result.body_json)
         except ValueError:
-            # The caller's own whole answer, though not the JSON it should be.
+            # The response is complete and belongs to this call, but is not valid JSON.
             body = result.body_json
         return result.status, {"outcome": "done", "body": body}, None
     if result.outcome == "not_run":
--- a/dunlinpoint/entry/limits.py
+++ b/dunlinpoint/entry/limits.py
@@ -1,8 +1,8 @@
-"""How much of an entry's work each workspace may have in flight.
+"""Limits on the requests that each workspace may have in flight at an entry.
 
-A few workspaces are large. Without a limit one that sends everything at once
-fills every engine, and the small ones wait behind it; a request over the
-limit is refused at once, certainly not run, with the time to come back.
+A few workspaces are large. Without a limit, one that sends all its requests at once
+fills every engine, and the requests of small workspaces queue behind them. A request
+over the limit is refused at once with a ``Retry-After``; it has not run.
 """
 
 import collections
@@ -18,9 +18,9 @@
     count_by_name: collections.Counter = attrs.field(factory=collections.Counter)
 
     def enter(self, name):
-        """Begin a request of workspace *name*; ``False`` over its limit.
+        """Count a request of workspace *name*; ``False`` if it is over the limit.
 
-        A workspace that the document does not name has no limit here.
+        A workspace that is not in the document has no limit.
         """
         limit = self.limit_by_name.get(name)
         if limit is not None and self.count_by_name[name] >= limit:
@@ -29,7 +29,7 @@
         return True
 
     def leave(self, name):
-        """A request of workspace *name* is over."""
+        """Remove an ended request of workspace *name* from the count."""
         self.count_by_name[name] -= 1
         if not self.count_by_name[name]:
             del self.count_by_name[name]
--- a/dunlinpoint/entry/tests/test_start.py
+++ b/dunlinpoint/entry/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Which agent an entry starts work at."""
+"""Selection of the agent at which an entry starts a request."""
 
 import attrs
 from twisted.internet import defer, task
@@ -22,7 +22,7 @@
 
 @attrs.define
 class Link:
-    """A link to an agent; those that drain refuse."""
+    """A link to an agent; agent ``a`` is draining and refuses."""
 
     name: str
     asked: list
@@ -48,7 +48,7 @@
 
 
 def test_an_agent_that_refuses_is_left_alone_for_as_long_as_it_asks(monkeypatch):
-    # Guards against work started again and again at an agent that drains.
+    # Guards against requests sent repeatedly to an agent that is draining.
     monkeypatch.setattr(app.owners, "engines", lambda members, *_: members)
     reactor = task.Clock()
     entry = Entry(clock.Clock(reactor))
--- a/dunlinpoint/forward/__init__.py
+++ b/dunlinpoint/forward/__init__.py
@@ -1,19 +1,21 @@
-"""Forwarding callers' own HTTP requests to endpoints, unchanged.
+"""Forwards callers' HTTP requests to endpoints unchanged.
 
 ==============  ==========================================================
 module          holds
 ==============  ==========================================================
-``names``       the header names of a dialect of HTTP
-``routes``      routes and keys of the document in force, looked up fast
-``pool``        connections to endpoints and one exchange on one of them
-``events``      server-sent events: whole ones, their ids, what is repeated
-``guard``       when a try is ended so that another endpoint can answer
-``answers``     final answers: our own, and an endpoint's passed on
-``waiting``     requests that wait for news
-``state``       what requests at one entry share, and what each carries
-``admission``   who is let in: from a request's arrival to its first try
-``tries``       which endpoint next, how often, and when to give up
-``exchange``    one try: sent to an endpoint, its answer passed on
+``names``       configurable HTTP header names
+``routes``      lookup tables for the routes and keys of the current document
+``pool``        connection pool for endpoints, one HTTP exchange per connection
+``events``      server-sent events: framing, ids and removal of duplicates
+``guard``       watchdog that aborts an attempt so that another endpoint can answer
+``answers``     final responses: generated here or passed on from an endpoint
+``waiting``     waits for a change of document, endpoints or groups
+``state``       state shared by all requests of an entry, and state of each request
+``admission``   validation and admission, from arrival to the first attempt
+``room``        capacity of rank groups: which group a stream joins, or its refusal
+``quarantine``  detection and isolation of requests that crash endpoints
+``tries``       selection of endpoints, retries, and the final failure
+``exchange``    one attempt: sends the request and passes on the response
 ``site``        the HTTP server that callers connect to
 ==============  ==========================================================
 """
--- a/dunlinpoint/forward/admission.py
+++ b/dunlinpoint/forward/admission.py
@@ -1,4 +1,4 @@
-"""Who is let in: a request from its arrival to its first try."""
+"""Validation and admission of a request, from its arrival to its first attempt."""
 
 from twisted.internet import defer
 
@@ -7,13 +7,13 @@
 from dunlinpoint.routing import outage
 
 DEFAULT_DEADLINE_MS = 60_000
-# How long a request may wait for what a starting entry does not know yet:
-# callers of streams leave after 2 s.
+# Maximum wait for a starting entry to learn its document and endpoints. Callers of
+# streams disconnect after 2 s.
 STARTING_WAIT_MS = 1500
 
 
 def admit(forward, request, arrived_ms):
-    """The ``Call`` of *request*, or ``None`` after a final answer."""
+    """Return the ``Call`` of *request*, or ``None`` if a final response was sent."""
     table = forward.table
     if not table.version or forward.view.confirmed_ms is None:
         answers.not_run(forward, request, "no_document")
@@ -26,7 +26,7 @@
     workspace = None
     if table.keyed and not route.public:
         if forward.key_lease_ended():
-            # This lasts as long as what cuts the entry off: seconds.
+            # The entry has lost contact with the controls, which lasts seconds.
             retry_ms = outage.max_retry_after_ms(deadline_of(forward, request))
             answers.answer(forward, request, 503, "document_not_vouched", retry_ms)
             return None
@@ -52,19 +52,19 @@
 
 
 def deadline_of(forward, request):
-    """How long the caller of *request* waits, in ms."""
+    """Return how long the caller of *request* waits, in ms."""
     given = answers.header(request, forward.names.deadline_ms) or ""
     return int(given) if given.isdigit() else DEFAULT_DEADLINE_MS
 
 
 @defer.inlineCallbacks
 def start_up(forward, request, gone, service=None):
-    """Wait for what an entry that has just started does not know yet.
+    """Wait until an entry that has just started knows the document and *service*.
 
-    After all processes were killed, entries were back a second before the
-    first control answered. They refused everyone, who came back at once, was
-    refused again and had no try left, though a second later all was well.
-    *gone* tells whether the caller has left.
+    After all processes were killed, entries were back a second before the first
+    control answered. They refused all callers, who retried at once, were refused
+    again and had no attempt left, although the service recovered a second later.
+    ``gone()`` returns whether the caller has disconnected.
     """
     if not forward.is_starting() or forward.knows(service):
         return
@@ -74,10 +74,10 @@
 
 @defer.inlineCallbacks
 def serve(forward, request):
-    """Forward one request; every path ends in exactly one final answer."""
+    """Forward one request; every code path sends exactly one final response."""
     if forward.lifecycle.is_stopping():
-        # Taken now on a kept connection, it could still be running at the
-        # end of the grace time and be cut.
+        # Accepted now on a keep-alive connection, the request could still be running
+        # at the end of the grace period and be aborted.
         answers.not_run(forward, request, "stopping")
         return
     arrived_ms = forward.clock.now()
@@ -95,7 +95,7 @@
 
 @defer.inlineCallbacks
 def carry_out(forward, call):
-    """Try an admitted request within its workspace's limit and its time."""
+    """Run an admitted request within its workspace's limit and its deadline."""
     request = call.request
     name = call.workspace.name if call.workspace is not None else ""
     if not forward.work.enter(name):
--- a/dunlinpoint/forward/capacity.py
+++ b/dunlinpoint/forward/capacity.py
@@ -1,4 +1,4 @@
-"""Room in groups of ranks: the group a stream joins, and who waits or is refused."""
+"""Capacity of rank groups: which group a stream joins, and who waits or is refused."""
 
 import enum
 
@@ -8,24 +8,28 @@
 
 log = logs.logger("entry")
 
-# When a caller should come back that waited for room in vain: streams last a second or
-# two, and as many end in that time as would have to.
+# Range of Retry-After when the wait for capacity timed out. Streams last a second or
+# two, so enough of them end in that time.
 RETRY_MS = (500, 1500)
-# The same while long passes last. Those who come back sooner meet the same group, are
-# refused again, and have no try left.
+# The same during a lasting overload. Callers that retry sooner find the same overload,
+# are refused again and have no attempt left.
 OVERLOAD_RETRY_MS = (1800, 2600)
-# How long a request waits for room, as a part of the time in which its first event is
-# due: reading its prompt takes most of the rest.
+# Maximum wait for capacity as a share of the latency target of the first event. Prompt
+# processing takes most of the rest.
 WAIT_SHARE = 0.5
 WAIT_MS = 300
-# How often it looks: a few times a pass.
+# A few polls per decode step.
 POLL_INTERVAL_MS = 25
-# The same for callers that wait their turn after an outage, which takes longer.
+# The same for callers that are queued after an outage, which wait longer.
 TURN_LOOK_MS = 50
 
 
 class Room(enum.Enum):
-    """What a request finds: a group, none for a moment, or long passes that last."""
+    """Result of the search for a group.
+
+    ``JOINED``: the request was assigned to a group. ``FULL``: no group has capacity
+    at the moment. ``OVERLOADED``: decode steps are too long over a long window.
+    """
 
     JOINED = "joined"
     FULL = "no_room"
@@ -33,7 +37,10 @@
 
 
 def join(forward, call, group):
-    """Count *call* at *group* of ranks and no longer at the one before."""
+    """Assign *call* to the rank group *group* (``None`` for no group).
+
+    Its stream is no longer counted at its previous group.
+    """
     groups = forward.groups(call)
     if groups is None or call.group == group:
         return
@@ -48,7 +55,7 @@
 
 
 def is_past_latency_target(call, now):
-    """Whether the first event of *call* can't come within its aim any more."""
+    """Whether *call* is past the latency target of its first event."""
     route = call.route
     return latency.is_past_latency_target(
         call.deadline_ms - now, route.timeout_ms, route.aim_ms
@@ -56,9 +63,10 @@
 
 
 def leaves_ms(call):
-    """Until when (ms) *call* may wait and still be answered whole.
+    """Return until when (ms) *call* may wait and still receive a complete response.
 
-    Its caller leaves without an event for a while, or has no time left for the rest.
+    A caller disconnects if it receives no event for a certain time, and its deadline
+    must leave enough time for the response.
     """
     event_timeout_ms = outage.event_timeout_ms(call.route.aim_ms, call.route.pause_ms)
     until_ms = call.heard_ms + event_timeout_ms - outage.FIRST_EVENT_RESERVE_MS
@@ -66,11 +74,11 @@
 
 
 def wait_until(call):
-    """Until when (ms) *call* waits for room: after that it could not be in time.
+    """Return until when (ms) *call* waits for capacity.
 
-    A wait of a few passes bridges what a jump of demand takes; sent away, a caller is
-    late when it comes back. One that waits its turn after an outage waits as long as
-    it stays.
+    A wait of a few decode steps covers a jump in demand, whereas a caller that is
+    refused is past its latency target when it retries. A caller that is queued after
+    an outage waits until shortly before it would disconnect.
     """
     if call.turn is not None:
         return leaves_ms(call)
@@ -79,15 +87,15 @@
 
 
 def look_ms(call):
-    """After how long *call* looks for room again."""
+    """Return the interval (ms) at which *call* polls for capacity."""
     return POLL_INTERVAL_MS if call.turn is None else TURN_LOOK_MS
 
 
 def find(forward, call, by_group, now):
-    """Have *call* join a group of *by_group* that has room; the ``Room`` found.
+    """Assign *call* to a group of *by_group* that has capacity; return a ``Room``.
 
-    A request that was let in once is not refused for room when it must go on
-    elsewhere: it is no more of a load there than it was.
+    A request that was admitted before is not refused when it moves to another
+    group, since it adds no load overall.
     """
     groups = forward.groups(call)
     if groups is None or call.group in by_group or not by_group:
@@ -99,10 +107,12 @@
         join(forward, call, group or next(iter(by_group)))
         return Room.JOINED
     if call.draw is None:
-        # Drawn anew at each look, a share of a tenth let in two of three callers.
+        # Drawn only once per request: with a new draw at each poll, an admitted share
+        # of a tenth admitted two of three callers.
         call.draw = forward.rng.random()
-    # The first passes after an outage are long whatever is refused, and late callers
-    # wait their turn there.
+    # After an outage the first decode steps are long however many requests are refused,
+    # and callers past their latency target are queued there, so groups that opened
+    # recently are not checked for overload.
     settled = [g for g in by_group if not forward.outages.opened_recently(g, now)]
     usable = groups.not_overloaded(settled, now, returned, call.draw)
     usable += [group for group in by_group if group not in settled]
@@ -121,9 +131,9 @@
 
 
 def open_to_late(forward, call, usable, now):
-    """Those of *usable* that *call*, which is late, may join now.
+    """Return the groups of *usable* that *call* may join past its latency target.
 
-    In a group that opened lately it waits its turn for a slot.
+    For a group that opened recently, the call is queued for a slot.
     """
     settled = [g for g in usable if not forward.outages.opened_recently(g, now)]
     if settled:
@@ -142,14 +152,14 @@
 
 
 def leave(forward, call):
-    """*call* is over: it is at no group and waits for none."""
+    """Remove *call*, which has ended, from its group and from the queue."""
     join(forward, call, None)
     if call.turn is not None:
         forward.groups(call).queue.leave(call.turn)
 
 
 def note_overload(forward, service, groups, by_group, now):
-    """Log when long passes of a group begin, or cease, to have requests refused."""
+    """Log the start and the end of an overload of each group of *by_group*."""
     for group in by_group:
         found = groups.controller(group)
         share = found.long_window_admitted_share(now)
@@ -171,7 +181,10 @@
 
 
 def refuse(forward, call, found):
-    """Refuse *call* for the want of room *found*, and say when to come back."""
+    """Refuse *call* because of *found* (``FULL`` or ``OVERLOADED``).
+
+    The response has a ``Retry-After`` that the caller's deadline permits.
+    """
     groups, now = forward.groups(call), forward.clock.now()
     paces = [groups.controller(group) for group in groups.share_by_group]
     lasting = found is Room.OVERLOADED
--- a/dunlinpoint/forward/events.py
+++ b/dunlinpoint/forward/events.py
@@ -1,9 +1,10 @@
-"""Server-sent events of one stream: whole ones only, each id once.
+"""Framing and deduplication of the server-sent events of one stream.
 
-An endpoint can stop in the middle of an event, and a stream that is resumed
-at another endpoint can repeat what the caller has. Half an event joined to
-the next endpoint's bytes, or an event twice, would reach the caller as its
-answer; :class:`Events` passes on whole events with ids above the last.
+An endpoint can stop in the middle of an event, and a stream that is resumed at
+another endpoint can repeat events that the caller already has. The caller must
+receive neither half an event joined to the bytes of the next endpoint nor the same
+event twice, so :class:`Events` passes on only complete events with ids above the
+last one.
 """
 
 import attrs
@@ -13,7 +14,7 @@
 
 
 def id_of(event):
-    """The integer id of one event's bytes, or ``None``."""
+    """Return the integer id of *event* (``bytes``), or ``None``."""
     for line in event.split(b"\n"):
         if line.startswith(ID):
             value = line[len(ID) :].strip()
@@ -23,14 +24,18 @@
 
 @attrs.define
 class Events:
-    """What of a stream has been passed on, and the bytes of a part event."""
+    """Position in a stream, and the bytes of an incomplete event.
+
+    ``last_id`` is the id of the last event that was passed on, ``count`` the number
+    of events passed on.
+    """
 
     last_id: int | None = None
     count: int = 0
     partial: bytes = b""
 
     def feed(self, data):
-        """Bytes of the whole new events that *data* completes."""
+        """Add *data*; return the bytes of the new events that it completes."""
         buffer = self.partial + data
         out = []
         start = 0
@@ -48,5 +53,5 @@
         return b"".join(out)
 
     def restart(self):
-        """A new run goes on: forget the part event of the broken one."""
+        """Discard the incomplete event of a stream that is resumed elsewhere."""
         self.partial = b""
--- a/dunlinpoint/forward/exchange.py
+++ b/dunlinpoint/forward/exchange.py
@@ -1,18 +1,18 @@
-"""One try of a request: sent to an endpoint, its answer passed on.
-
-The promises kept here, and how:
-
-- *Whole and own*: an answer counts only with the endpoint's signature and
-  the echoed request id. Plain answers are passed on once whole, streams
-  event by event; one that breaks off is never ended as if complete.
-- *Not run means not run*: 503 is given only if every try was certainly not
-  run. After any try that may have run, the caller is told 502 or 504.
-- *At most once*: a request that may not be repeated goes to another endpoint
-  only after a certain "not run".
-- *At once*: a request given up on is answered there and then, with the time
-  to come back; nothing is held until the caller's deadline.
-- *Nobody waits in vain*: when the caller leaves, the endpoint's connection
-  is closed, so that the endpoint stops.
+"""One attempt of a request: sends it to an endpoint and passes on the response.
+
+Guarantees:
+
+- Complete and authentic responses: a response is accepted only with the endpoint's
+  signature and the echoed request id. Plain responses are passed on when complete,
+  streams event by event; an interrupted stream is never terminated as if complete.
+- Reliable 503: it is sent only if no attempt has run. After any attempt that may
+  have run, the caller receives 502 or 504.
+- At most once: a request that must not be repeated is sent to another endpoint only
+  if the previous one certainly did not run it.
+- Early failure: when no further attempt is possible, the final response is sent at
+  once, with a ``Retry-After``; no request is held until the caller's deadline.
+- Cancellation: when the caller disconnects, the connection to the endpoint is closed,
+  so that the endpoint stops working on the request.
 """
 
 from twisted.internet import defer
@@ -27,20 +27,20 @@
 
 OWN_HEADERS = {b"content-length", b"authorization", b"expect"}
 LEAST_URGENT = 9
-# By how much less urgent to an endpoint a request is whose caller is late already: in a
-# slot that it leaves to another, that one is still in time.
+# Added to the priority value of a request past its latency target: a request that
+# takes its slot instead can still meet the target.
 LATE_PRIORITY = 5
-# The state of one try.
+# Outcomes of an attempt.
 DONE, NOT_RUN, BROKEN, FAILED = "done", "not_run", "broken", "failed"
 
 
 def text(value):
-    """Header bytes as text for a log line."""
+    """Return header bytes as ``str`` for a log line."""
     return value.decode("latin-1") if value is not None else None
 
 
 def told(forward, call):
-    """What a log line tells of *call* beside its id."""
+    """Return the log fields of *call* other than its id."""
     return {
         "route": call.route.name,
         "service": call.service,
@@ -51,7 +51,7 @@
 
 @defer.inlineCallbacks
 def one_try(forward, call, member):
-    """Send the request to *member*, and log how it ended: the try's state."""
+    """Make one attempt at *member*, log it, and return its outcome."""
     began_ms = forward.clock.now()
     call.at_endpoint = forward.picker.record(pick.incarnation_key(member)).in_flight
     events_before = call.events.count
@@ -79,7 +79,7 @@
 
 @defer.inlineCallbacks
 def send_to(forward, call, member):
-    """Send the request to *member*: the state of the try."""
+    """Send the request to *member*; return the outcome of the attempt."""
     name = pick.incarnation_key(member)
     forward.picker.began(name)
     forward.picker.signals.sent(name, forward.clock.now())
@@ -121,7 +121,7 @@
 
 
 def note_done(forward, call, member):
-    """Log and time a request that got its endpoint's answer."""
+    """Log and time a request that *member* has answered."""
     took_ms = forward.clock.now() - call.arrived_ms
     forward.counters.observe_ms("answer", took_ms)
     log.info(
@@ -141,7 +141,7 @@
 
 
 def priority_of(call, now):
-    """How urgent *call* is to an endpoint at *now*, 0 (first) to 9."""
+    """Return the priority of *call* at *now*, 0 (most urgent) to 9."""
     priority = call.route.priority
     if call.workspace is not None and call.workspace.priority is not None:
         priority = call.workspace.priority
@@ -151,7 +151,7 @@
 
 
 def outgoing(forward, call, member):
-    """The request as *member* gets it."""
+    """Return the request as it is sent to *member*."""
     named = answers.header(call.request, b"connection") or ""
     dropped = answers.HOP_BY_HOP | {
         n.strip().lower().encode() for n in named.split(",")
@@ -179,14 +179,17 @@
 
 @defer.inlineCallbacks
 def exchange(forward, call, member, connection):
-    """One exchange with *member*: the state of the try."""
+    """Exchange one request and response with *member*; return the outcome.
+
+    Raises ``Broken``.
+    """
     sent_ms = forward.clock.now()
     head = yield pool.send(connection, outgoing(forward, call, member))
     own = forward.names
     echoed = head.headers.getRawHeaders(own.request_id, [None])[-1]
     if call.request_id is not None and echoed != call.request_id:
         forward.counters.incr("dropped.foreign_answer")
-        raise closing(connection, "an answer to another request")
+        raise closing(connection, "request id in the response does not match")
     notice = forward.read_signal(head.code, head.headers)
     now = forward.clock.now()
     forward.picker.signals.apply(pick.incarnation_key(member), notice, sent_ms, now)
@@ -196,9 +199,9 @@
         return NOT_RUN
     good = 200 <= head.code < 300
     if good and not head.headers.hasHeader(own.signature):
-        raise closing(connection, "a success without a signature")
+        raise closing(connection, "successful response without signature header")
     if head.headers.hasHeader(b"content-encoding"):
-        raise closing(connection, "an encoded body")
+        raise closing(connection, "response body has a content encoding")
     if good and call.streaming:
         yield relay(forward, call, member, connection, head)
         forward.counters.incr("answered.stream")
@@ -210,7 +213,7 @@
         call.last_failure = head, bytes(body)
         return FAILED
     if call.over:
-        raise closing(connection, "the caller is gone")
+        raise closing(connection, "caller disconnected")
     forward.counters.incr("answered.plain")
     answers.copy_head(call.request, head, len(body))
     answers.finish(forward, call.request, bytes(body))
@@ -218,12 +221,12 @@
 
 
 def not_run(forward, member, head):
-    """Take note that *member* did not run a request, and whose fault it was."""
+    """Record that *member* did not run a request, and which endpoint caused it."""
     forward.counters.incr("endpoint.not_run")
     now = forward.clock.now()
     at_fault = head.headers.getRawHeaders(forward.names.fault_at, [b""])[-1]
     elsewhere = at_fault and at_fault.decode("latin-1") != member.endpoint_id
-    # 421 says that another endpoint is at this address now: no group stands.
+    # 421 means that another endpoint has this address now: no group is stalled.
     if head.code == 503 and elsewhere and forward.outages.suspect(member, now):
         forward.counters.incr("endpoint.group_stands")
     else:
@@ -231,14 +234,14 @@
 
 
 def closing(connection, why):
-    """Close *connection*; the ``Broken`` to raise."""
+    """Close *connection*; return the ``Broken`` to raise."""
     connection.close()
     return pool.Broken(why)
 
 
 @defer.inlineCallbacks
 def drained(connection, head):
-    """Read a refusal's body so that its connection can be used again."""
+    """Read the body of a refusal, so that its connection can be reused."""
     try:
         yield pool.read(connection, head, len)
     except pool.Broken:
@@ -247,7 +250,7 @@
 
 @defer.inlineCallbacks
 def relay(forward, call, member, connection, head):
-    """Pass a stream's whole events on as they come."""
+    """Pass on the complete events of a stream as they arrive."""
     request = call.request
     call.events.restart()
     groups = forward.groups(call)
@@ -276,9 +279,9 @@
 
     yield pool.read(connection, head, on_data)
     if call.over:
-        raise closing(connection, "the caller is gone")
+        raise closing(connection, "caller disconnected")
     if call.events.partial:
-        raise closing(connection, "a stream that ends within an event")
+        raise closing(connection, "stream ended within an event")
     if not call.started:
         call.started = True
         answers.copy_head(request, head, None)
--- a/dunlinpoint/forward/guard.py
+++ b/dunlinpoint/forward/guard.py
@@ -1,9 +1,10 @@
-"""When a try is ended so that another endpoint can still answer.
+"""Watchdog that aborts an attempt so that another endpoint can still answer.
 
-An endpoint that alone is silent may be out of reach, its connection may have
-gone silent, or its queue may be long. Taken for gone in the last case, requests
-were moved to other busy endpoints and their callers told 502 after a second
-such move; so the way to it is tried before the request is given up there.
+If a single endpoint of a service is unresponsive, the endpoint may be unreachable,
+its connection may be dead, or its queue may be long. In the last case requests were
+moved to other busy endpoints, and their callers received a 502 after the second such
+move. A new connection to the endpoint is therefore opened as a probe before the
+attempt is aborted.
 """
 
 import attrs
@@ -12,14 +13,14 @@
 from dunlinpoint.routing import pick
 
 GUARD_MS = 250
-# An idempotent request's first endpoint gets this part of the time left
-# before another is tried.
+# Share of the remaining time that an idempotent request spends on its first endpoint
+# before another one is tried.
 FIRST_TRY_SHARE = 0.6
 
 
 @attrs.define
 class Guard:
-    """Ends a try early where another endpoint may still answer."""
+    """Aborts an attempt early where another endpoint may still answer."""
 
     forward: object
     call: object
@@ -29,11 +30,11 @@
     stopped: bool = False
 
     def check_again(self, pause_ms):
-        """Look whether the endpoint is gone after *pause_ms*."""
+        """Check after *pause_ms* whether the endpoint is unresponsive."""
         self.timer = self.forward.clock.call_later(pause_ms, self.check)
 
     def check(self):
-        """Look further if only this endpoint is silent."""
+        """Abort the attempt or probe the endpoint if only it is unresponsive."""
         members = self.forward.members(self.call.service)
         now = self.forward.clock.now()
         if not self.forward.picker.is_unresponsive(
@@ -47,7 +48,7 @@
             found.addCallback(self.reached)
 
     def reached(self, answers):
-        """A new connection to the endpoint was accepted, or not."""
+        """Handle the result of the probe: whether a new connection was accepted."""
         if self.stopped:
             return
         if answers:
@@ -57,22 +58,23 @@
             self.give_up("out_of_reach")
 
     def give_up(self, reason):
-        """End the try here."""
+        """Abort the attempt by closing its connection."""
         self.forward.counters.incr(f"endpoint.{reason}")
         self.connection.close()
 
     def stop(self):
-        """The try is over."""
+        """Stop watching: the attempt has ended."""
         self.stopped = True
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
 
 def start(forward, call, member, connection):
-    """The ``Guard`` of a try that may be made again elsewhere, or ``None``.
+    """Return the ``Guard`` of an attempt, or ``None`` if it must not be repeated.
 
-    A plain answer comes whole or not at all: its try ends after a part of
-    the time left. A stream may take long; its try ends with its endpoint.
+    A plain response is passed on only when complete, so its attempt is aborted after
+    a share of the remaining time. A stream may take long, so its attempt is aborted
+    only when the endpoint is unresponsive.
     """
     if not routes.repeatable(call.route) or call.tries >= call.route.max_attempts:
         return None
--- a/dunlinpoint/forward/names.py
+++ b/dunlinpoint/forward/names.py
@@ -1,7 +1,7 @@
-"""Header names of a dialect of HTTP, so that forwarding knows none itself.
+"""Configurable HTTP header names for the forwarding code.
 
-``DEFAULT`` is this project's own dialect; a deployment that speaks another
-brings its own :class:`HeaderNames`.
+``DEFAULT`` holds this project's own names; a deployment with other headers
+passes its own :class:`HeaderNames`.
 """
 
 import attrs
@@ -9,16 +9,17 @@
 
 @attrs.frozen
 class HeaderNames:
-    """Header names (``bytes``, as sent) by what they carry.
-
-    - ``request_id``: names one try of a caller; an endpoint echoes it.
-    - ``deadline_ms``: how long the caller still waits, in milliseconds.
-    - ``signature``: an endpoint's mark on an answer that is its own.
-    - ``workspace``: the caller's workspace, set by the entry only.
-    - ``endpoint_id``: the endpoint a request is meant for; another refuses.
-    - ``not_run``: an endpoint's word that it did not run the request.
-    - ``priority``: 0 (first) to 9.
-    - ``fault_at``: the endpoint at fault in a refusal, if it is another one.
+    """Header names as ``bytes``, in the case in which they are sent.
+
+    - ``request_id``: identifies one attempt of a caller; the endpoint echoes it.
+    - ``deadline_ms``: time left until the caller's deadline, in milliseconds.
+    - ``signature``: set by an endpoint on each response that it generated itself.
+    - ``workspace``: the caller's workspace; set only by the entry.
+    - ``endpoint_id``: the intended endpoint; any other endpoint refuses the request.
+    - ``not_run``: set by an endpoint that did not run the request.
+    - ``priority``: 0 (most urgent) to 9.
+    - ``fault_at``: the endpoint that caused a refusal, if it is a different one.
+    - ``last_event_id``: id of the last event that the caller has received.
     """
 
     request_id: bytes = b"X-Request-Id"
--- a/dunlinpoint/forward/pool.py
+++ b/dunlinpoint/forward/pool.py
@@ -1,19 +1,20 @@
-"""Connections to endpoints, and one exchange at a time on each.
-
-An idle connection is used again for the same endpoint while it is younger
-than the endpoint's ``Keep-Alive`` promise. What can go wrong on one:
-
-- Extra bytes after an answer belong to no request. Read as the next answer,
-  they would reach another caller; a connection that got any is not reused,
-  and an answer's echoed request id must be the one sent.
-- An endpoint may close an idle connection just as a request is written; the
-  request may or may not have run. Requests that must not run twice ask for
-  a connection used a moment ago, or a new one.
-- An answer without a length ends with its connection. Ended by a reset, it
-  is not whole, although the HTTP library reports the same for both.
-
-Errors: :class:`NotSent` when no byte of the request left, :class:`Broken`
-when it may have run.
+"""Connection pool for endpoints, with one exchange at a time per connection.
+
+An idle connection is reused for the same endpoint until the endpoint's
+``Keep-Alive`` timeout. Three failures are handled:
+
+- Extra bytes after a response belong to no request. Read as the next response, they
+  would reach another caller. A connection that received any is not reused, and the
+  request id echoed in a response must match the one sent.
+- An endpoint may close an idle connection just as a request is written; the request
+  may or may not have run. A request that must not run twice therefore uses a
+  connection that was in use a moment ago, or a new one.
+- A response without a length ends when its connection is closed. If the connection
+  was reset, the response is incomplete, although the HTTP library reports the same
+  for both.
+
+Errors: :class:`NotSent` if no byte of the request was sent, :class:`Broken` if the
+request may have run.
 """
 
 import re
@@ -28,24 +29,24 @@
 
 CONNECT_TIMEOUT_MS = 400
 IDLE_MS = 2000
-# Taken off an endpoint's Keep-Alive promise for the way there.
+# Subtracted from an endpoint's Keep-Alive timeout to allow for the network latency.
 KEEP_ALIVE_MARGIN_MS = 700
-# How fresh a connection must be for a request that must not run twice.
+# Maximum idle time of a connection for a request that must not run twice.
 FRESH_MS = 500
 MAX_IDLE = 8
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d+)")
 
 
 class ForwardError(Exception):
-    """A request got no usable answer from an endpoint."""
+    """A request received no usable response from an endpoint."""
 
 
 class NotSent(ForwardError):
-    """No byte of the request left: the endpoint did not run it."""
+    """No byte of the request was sent: the endpoint did not run it."""
 
 
 class Broken(ForwardError):
-    """The request left and no whole, sound answer came: it may have run."""
+    """No complete, valid response to a sent request: it may have run."""
 
 
 @implementer(iweb.IBodyProducer)
@@ -75,7 +76,7 @@
 
 @attrs.define
 class Message:
-    """One request as an endpoint gets it; *headers* include Host."""
+    """One request as it is sent to an endpoint; *headers* include Host."""
 
     method: bytes
     uri: bytes
@@ -84,7 +85,10 @@
 
 
 class Connection(client.HTTP11ClientProtocol):
-    """One connection to an endpoint, its library protocol kept an eye on."""
+    """One connection to an endpoint.
+
+    It detects extra bytes and resets, which the library's protocol does not report.
+    """
 
     def __init__(self, quiescent):
         super().__init__(quiescent)
@@ -104,7 +108,7 @@
         super().connectionLost(reason)
 
     def usable(self, now, limit_ms):
-        """Whether another request may go out, idle up to *limit_ms*."""
+        """Whether another request may be sent after at most *limit_ms* idle."""
         limit_ms = min(limit_ms, self.idle_limit_ms)
         return (
             self.state == "QUIESCENT"
@@ -113,13 +117,16 @@
         )
 
     def close(self):
-        """Drop the connection with whatever is on it."""
+        """Abort the connection and any exchange in progress."""
         if self.transport is not None:
             self.transport.abortConnection()
 
 
 class Reader(protocol.Protocol):
-    """Feeds an answer's body to *on_data*; ``done`` fires at its end."""
+    """Passes the body of a response to *on_data*.
+
+    ``done`` fires with ``None`` at the end, or with ``Broken`` if it is incomplete.
+    """
 
     def __init__(self, connection, on_data):
         self.connection = connection
@@ -136,15 +143,15 @@
         if whole:
             self.done.callback(None)
         else:
-            self.done.errback(Broken(f"answer broke off: {reason.value!r}"))
+            self.done.errback(Broken(f"response is incomplete: {reason.value!r}"))
 
 
 @attrs.define
 class Pool:
-    """Idle connections by an endpoint's life, and how many were opened.
+    """Idle connections by endpoint incarnation, and the number of connections opened.
 
-    One to an earlier start of an endpoint leads nowhere, and what is sent on it may
-    have run or not.
+    A connection to an earlier incarnation of an endpoint is dead, and it is unknown
+    whether a request sent on it has run.
     """
 
     reactor: object
@@ -154,7 +161,7 @@
 
     @classmethod
     def from_config(cls, reactor):
-        """An empty pool on *reactor*."""
+        """Return an empty pool on *reactor*."""
         return cls(reactor, clock.Clock(reactor))
 
     def _idle(self, name, limit_ms):
@@ -169,7 +176,11 @@
 
     @defer.inlineCallbacks
     def connect(self, member, repeatable):
-        """A connection to *member*, idle or new; raises ``NotSent``."""
+        """Return a connection to *member*, idle or new; raises ``NotSent``.
+
+        *repeatable* tells whether the request may run more than once, which permits
+        a connection that has been idle for longer.
+        """
         limit_ms = IDLE_MS * 4 if repeatable else FRESH_MS
         connection = self._idle(pick.incarnation_key(member), limit_ms)
         if connection is not None:
@@ -179,7 +190,7 @@
 
     @defer.inlineCallbacks
     def reaches(self, member):
-        """Whether *member* accepts a new connection, which is kept."""
+        """Whether *member* accepts a new connection, which is put in the pool."""
         try:
             connection = yield self._open(member)
         except NotSent:
@@ -189,7 +200,7 @@
 
     @defer.inlineCallbacks
     def is_closed(self, member):
-        """Whether nothing listens at the address of *member*, whose machine answers."""
+        """Whether the host of *member* refuses connections to the member's port."""
         try:
             connection = yield self._open(member)
         except NotSent as exc:
@@ -227,7 +238,7 @@
             idle.pop(0).close()
 
     def forget(self, live):
-        """Close the idle connections of lives that are not among *live*."""
+        """Close the idle connections of incarnations that are not in *live*."""
         for name in [n for n in self.idle_by_life if n not in live]:
             for connection in self.idle_by_life.pop(name):
                 connection.close()
@@ -235,7 +246,10 @@
 
 @defer.inlineCallbacks
 def send(connection, message):
-    """Send *message*; the answer's head (``IResponse``), or ``Broken``."""
+    """Send *message*; return the head of the response (``IResponse``).
+
+    Raises ``Broken``.
+    """
     body = Body(message.body) if message.body or message.method == b"POST" else None
     request = _newclient.Request(
         message.method, message.uri, message.headers, body, persistent=True
@@ -254,7 +268,10 @@
 
 
 def read(connection, head, on_data):
-    """Feed the body to *on_data*; a Deferred of its whole end or ``Broken``."""
+    """Pass the body to *on_data*.
+
+    Returns a Deferred that fires when the body is complete, or fails with ``Broken``.
+    """
     reader = Reader(connection, on_data)
     head.deliverBody(reader)
     return reader.done
--- a/dunlinpoint/forward/quarantine.py
+++ b/dunlinpoint/forward/quarantine.py
@@ -1,15 +1,17 @@
-"""Requests that may end their endpoint: noticed, held apart, and refused when sure.
-
-What counts as evidence: the connection to an endpoint ended while a request was at work
-there that had not brought an event, and then nothing listens at the endpoint's address,
-or another start of it is announced. A cut, a stop of ours, a slow answer and a reset
-connection leave an endpoint that listens and is not announced anew: they count for
-nothing.
-
-A request that two endpoints have ended under runs alone at this entry, and is not tried
-again by itself. One that three have ended under is refused at once. It has not run, so
-503 says so; the fault is the endpoints', not the caller's, so nothing that blames the
-request (4xx) is said, and the time to come back is when the conviction expires.
+"""Detection, isolation and refusal of requests that crash their endpoint.
+
+A crash is attributed to a request if the connection to the endpoint ended while the
+request was running there and had not produced an event, and if afterwards nothing
+listens at the endpoint's address or a new incarnation of the endpoint is announced.
+After a network partition, an attempt aborted by this entry, a slow response or a
+connection reset, the endpoint still listens and is not announced anew, so none of
+these count.
+
+A request under which two endpoints have crashed is a suspect: at most one instance of
+it runs at a time at this entry, without retries. A request under which three have
+crashed is convicted and refused at once. It has not run, so the status is 503; a 4xx
+would blame the caller for a fault of the endpoints. ``Retry-After`` is the time until
+the conviction expires.
 """
 
 import attrs
@@ -22,18 +24,18 @@
 
 log = logs.logger("entry")
 
-# How long after a connection ended its endpoint is looked for: a process that ended
-# does not listen any more, and takes seconds to be back.
+# Delay between the end of a connection and the check of whether its endpoint still
+# listens. A crashed process stops listening at once and takes seconds to restart.
 LOOK_MS = 50
-# How long an end that nothing has shown yet may still be shown by a new start.
+# How long after the end of a connection a new incarnation still confirms a crash.
 PENDING_MS = 10_000
-# When a suspect should come back while another run of it is under way.
+# Retry-After of a suspect while another instance of it is running.
 ALONE_RETRY_MS = 1000
 
 
 @attrs.define
 class Broken:
-    """An endpoint whose connections ended, and the requests that were at work."""
+    """An endpoint whose connection ended, and the requests that were running there."""
 
     member: object
     at_ms: int
@@ -42,7 +44,10 @@
 
 @attrs.define
 class Quarantine:
-    """What this entry knows, and what it is still looking into."""
+    """Known suspects, and endpoints that may have crashed.
+
+    ``alone`` holds the digests of the suspects that are running.
+    """
 
     sharing: sharing.Sharing
     known: registry.Registry = attrs.field(factory=registry.Registry)
@@ -50,7 +55,7 @@
     alone: set = attrs.field(factory=set)
 
     def hear(self, forward, reports):
-        """Take in ``CrashReport``s that a control told."""
+        """Apply ``CrashReport``s received from a control."""
         now = forward.clock.now()
         for report in reports:
             self._take(forward, report, now)
@@ -72,7 +77,7 @@
         return True
 
     def note(self, forward, waiting):
-        """Take in what this entry saw, and tell the others what is news."""
+        """Apply reports of this entry, and share those that are new."""
         now = forward.clock.now()
         news = [w for w in waiting if self._take(forward, w.to_message(now), now)]
         if news:
@@ -80,7 +85,7 @@
 
 
 def digest_of(call):
-    """The digest of *call*'s request."""
+    """Return the digest of *call*'s request."""
     if call.digest is None:
         request = call.request
         request.content.seek(0)
@@ -92,7 +97,10 @@
 
 
 def suspect_status(forward, call):
-    """What *call* may do; digests are worked out only while there are suspects."""
+    """Return the ``SuspectStatus`` of *call*.
+
+    Digests are computed only while there are suspects.
+    """
     found = forward.quarantine.known
     if not len(found):
         return registry.SuspectStatus.CLEAR
@@ -100,7 +108,7 @@
 
 
 def enter(forward, call):
-    """Whether *call* may run; if not, it has got its final answer."""
+    """Whether *call* may run; if not, its final response has been sent."""
     found = suspect_status(forward, call)
     if found is registry.SuspectStatus.CLEAR:
         return True
@@ -117,7 +125,7 @@
 
 
 def refuse(forward, call, reason, retry_ms):
-    """Refuse *call*, which has not run."""
+    """Refuse *call* with 503; it has not run."""
     answers.answer(
         forward,
         call.request,
@@ -130,14 +138,14 @@
 
 
 def leave(forward, call):
-    """*call* is over."""
+    """Release the isolation of *call*, which has ended."""
     if call.is_alone:
         forward.quarantine.alone.discard(call.digest)
         call.is_alone = False
 
 
 def served(forward, call):
-    """An endpoint served *call*: it ends no endpoint that runs it."""
+    """Clear *call*, which an endpoint has served without crashing."""
     found = forward.quarantine
     if not len(found.known) and not found.broken_by_life:
         return
@@ -150,7 +158,7 @@
 
 
 def broke(forward, call, member):
-    """The connection to *member* ended while *call* was at work there."""
+    """Start a check: the connection to *member* ended while *call* was running."""
     found = forward.quarantine
     life = pick.incarnation_key(member)
     broken = found.broken_by_life.get(life)
@@ -166,7 +174,7 @@
 
 @defer.inlineCallbacks
 def look(forward, life, broken):
-    """Look whether the endpoint of *broken* still listens, and later forget it."""
+    """Check whether the endpoint of *broken* still listens, and discard it later."""
     yield forward.clock.sleep(LOOK_MS)
     if (yield forward.pool.is_closed(broken.member)):
         ended(forward, life)
@@ -176,7 +184,7 @@
 
 
 def look_for_new_starts(forward):
-    """Members have changed: whose earlier start has ended for sure."""
+    """Find crashed endpoints by their new incarnations, after a change of members."""
     found = forward.quarantine.broken_by_life
     if not found:
         return
@@ -187,7 +195,7 @@
 
 
 def is_new_start(member, earlier):
-    """Whether *member* shows that the start *earlier* of an endpoint has ended."""
+    """Whether *member* proves that the incarnation *earlier* has ended."""
     if member.service_name != earlier.service_name:
         return False
     if member.endpoint_id == earlier.endpoint_id:
@@ -196,7 +204,7 @@
 
 
 def ended(forward, life):
-    """The endpoint of *life* has ended under all that was at work there."""
+    """Attribute the crash of endpoint *life* to all requests that ran there."""
     broken = forward.quarantine.broken_by_life.pop(life, None)
     if broken is None:
         return
--- a/dunlinpoint/forward/routes.py
+++ b/dunlinpoint/forward/routes.py
@@ -1,7 +1,7 @@
-"""Routes and keys of the document in force, arranged for lookups.
+"""Lookup tables for the routes and keys of the document in force.
 
-A table is built once per document; a lookup costs one dict probe per path
-segment and one for the key, whatever the number of routes and workspaces.
+A table is built once per document. A lookup costs one dict access per path segment
+and one for the key, independent of the number of routes and workspaces.
 """
 
 import random
@@ -15,7 +15,10 @@
 
 @attrs.define
 class Table:
-    """Routes by host and prefix, workspaces by key."""
+    """Routes by host and prefix, and workspaces by key.
+
+    ``keyed`` tells whether any workspace has a key; ``version`` is the document's.
+    """
 
     route_by_place: dict = attrs.field(factory=dict)
     workspace_by_key: dict = attrs.field(factory=dict)
@@ -24,7 +27,7 @@
 
     @classmethod
     def from_document(cls, doc, version):
-        """The table of *doc*, in force as *version*."""
+        """Return the table of *doc*, whose document version is *version*."""
         return cls(
             route_by_place={(r.host.lower(), r.prefix): r for r in doc.routes},
             workspace_by_key={key: w for w in doc.workspaces for key in w.keys},
@@ -33,9 +36,10 @@
         )
 
     def match(self, host, path):
-        """The route of *host* with the longest prefix of *path*, or ``None``.
+        """Return the route of *host* with the longest matching prefix of *path*.
 
-        *host* may carry a port; *path* is without its query.
+        *host* may include a port; *path* has no query string. Returns ``None`` if
+        no route matches.
         """
         host = host.rsplit(":", 1)[0].lower()
         end = path.rfind("/")
@@ -47,14 +51,17 @@
         return None
 
     def workspace(self, authorization):
-        """The workspace whose key an ``Authorization`` value holds, or ``None``."""
+        """Return the workspace of the key in an ``Authorization`` header value.
+
+        Returns ``None`` for an unknown key or another authentication scheme.
+        """
         if not authorization or not authorization.startswith(BEARER):
             return None
         return self.workspace_by_key.get(authorization[len(BEARER) :].strip())
 
 
 def service_of(route, rng=random):
-    """One of the services of *route*, drawn by weight."""
+    """Return the name of a service of *route*, chosen randomly by weight."""
     if len(route.split) == 1:
         return route.split[0].service
     weights = [share.weight for share in route.split]
--- a/dunlinpoint/forward/site.py
+++ b/dunlinpoint/forward/site.py
@@ -1,8 +1,8 @@
 """The HTTP server that callers connect to.
 
-A plain ``twisted.web`` leaf resource rather than a klein app: klein's router
-normalises paths (it redirects doubled slashes) and a forwarded path must
-reach the endpoint as the caller sent it.
+It uses a plain ``twisted.web`` leaf resource instead of a klein app, because
+klein's router normalises paths (it redirects doubled slashes), and a forwarded
+path must reach the endpoint as the caller sent it.
 """
 
 from twisted.web import resource, server
@@ -12,13 +12,13 @@
 
 log = logs.logger("entry")
 
-# Above the longest idle time a document promises callers, so that a request
-# sent on an idle connection within it does not meet a closing one.
+# Added to the idle time that the document promises to callers, so that a request
+# sent within that time does not arrive on a connection that is being closed.
 IDLE_MARGIN_MS = 5000
 
 
 class Forwarded(resource.Resource):
-    """Every path and method, handed to :func:`admission.serve`."""
+    """Passes requests of any path and method to :func:`admission.serve`."""
 
     isLeaf = True
 
@@ -38,7 +38,10 @@
 
 
 def listen(reactor, forward, host, port):
-    """Serve callers on *host*:*port*; the ``Site`` and its listening port."""
+    """Serve callers on *host*:*port*.
+
+    Returns the ``Site`` and its listening port.
+    """
     idle_ms = forward.limits.idle_ms + IDLE_MARGIN_MS
     site = http_site.Site(Forwarded(forward), timeout=clock.seconds(idle_ms))
     return site, reactor.listenTCP(port, site, interface=host, backlog=512)
--- a/dunlinpoint/forward/state.py
+++ b/dunlinpoint/forward/state.py
@@ -1,4 +1,4 @@
-"""What requests at one entry share, and what each of them carries."""
+"""State shared by all requests of an entry, and the state of each request."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 log = logs.logger("entry")
 
-# How long after its start an entry may not know yet what there is: servers
-# announce themselves every 1.2 s, and a control may start with it.
+# How long after its start an entry may not know the document and all endpoints yet.
+# Servers announce themselves every 1.2 s, and a control may start at the same time.
 STARTING_MS = 4000
 
 
 @attrs.define
 class Forwarder:
-    """What every request at this entry shares."""
+    """State shared by all requests of this entry."""
 
     view: view.View
     clock: clock.Clock
@@ -65,11 +65,11 @@
     def from_config(
         cls, reactor, entry_view, counters, dialect, read_signal, key_lease_ms=0
     ):
-        """Forwarding at the entry whose view is *entry_view*.
+        """Create the state of the entry with the view *entry_view*.
 
-        ``read_signal(status, headers)`` gives the ``Signal`` of an endpoint's answer.
-        With *key_lease_ms* above 0, keyed requests are refused once no
-        majority of controls has vouched for the document for so long.
+        ``read_signal(status, headers)`` returns the ``Signal`` in an endpoint's
+        response. If *key_lease_ms* is above 0, requests with a key are refused once
+        no majority of controls has confirmed the document for that time.
         """
         ms_clock = clock.Clock(reactor)
         forward = cls(
@@ -92,43 +92,43 @@
         return forward
 
     def hear_reports(self, reports):
-        """A control told what entries saw of requests that endpoints ended under."""
+        """Handle crash reports of other entries, received from a control."""
         self.quarantine.hear(self, reports)
 
     def take(self, document):
-        """Put a newer document in force."""
+        """Apply a newer document."""
         doc = config.parse(packed.unpack(document.body))
         self.table = routes.Table.from_document(doc, document.version)
         self.limits = doc.limits
         self.work.limit_by_name = {w.name: w.max_in_flight for w in doc.workspaces}
 
     def members(self, service):
-        """Endpoints of *service* that take new work, in this entry's order.
+        """Return the endpoints of *service* that accept work, in this entry's order.
 
-        Arranged anew only when the members have changed: done for each
-        request, it cost more than the request with some hundred endpoints.
+        The order is computed only when the members have changed: computing it for
+        each request cost more than the request itself with some hundred endpoints.
         """
         self.arrange()
         return self.members_by_service.get(service, [])
 
     def news(self):
-        """Something was heard of the deployment: whoever waits looks again."""
+        """Handle a change notification of the view: wake all waiting requests."""
         quarantine.look_for_new_starts(self)
         if self.waiting.waiters:
             self.waiting.news()
 
     def knows(self, service=None):
-        """Whether the document, and endpoints of *service*, are known."""
+        """Whether the document and, if given, endpoints of *service* are known."""
         if not self.table.version or self.view.confirmed_ms is None:
             return False
         return service is None or bool(self.members(service))
 
     def is_starting(self):
-        """Whether what is not known may only not be known yet."""
+        """Whether the entry may not know all members yet because it just started."""
         return self.clock.now() - self.started_ms < STARTING_MS
 
     def arrange(self):
-        """Arrange the members if they have changed."""
+        """Update the lists of members if the members have changed."""
         live = self.view.live("service")
         view = self.view
         self.picker.signals.update(view.entry_index, view.entry_count, self.clock.now())
@@ -146,8 +146,8 @@
             name: endpoint_order.preferred_order(members, self.view.zone, place, places)
             for name, members in by_service.items()
         }
-        # Without this the records and idle connections of every endpoint
-        # that there ever was stay in memory until a restart.
+        # Otherwise records and idle connections of all former endpoints would stay in
+        # memory until a restart.
         lives = {pick.incarnation_key(m) for m in live}
         self.picker.forget(lives)
         self.picker.signals.forget(lives, self.clock.now())
@@ -163,7 +163,7 @@
         self._arrange_groups()
 
     def _arrange_groups(self):
-        """Divide each service's members by the groups that agents tell of."""
+        """Divide the members of each service by the groups that agents report."""
         self.group_members_by_service = {}
         self.uneven_groups = set()
         for service, members in self.members_by_service.items():
@@ -185,7 +185,7 @@
             self._tell_sizes(service, found)
 
     def _tell_sizes(self, service, found):
-        """Have the ``Groups`` *found* know how large each is, and how near."""
+        """Update *found* (``Groups``) with each group's size and size in this zone."""
         by_group = self.group_members_by_service.get(service, {})
         sizes = {group: len(members) for group, members in by_group.items()}
         here = {
@@ -197,7 +197,10 @@
         found.update(sizes, here, slots)
 
     def groups(self, call):
-        """The ``Groups`` of *call*'s service, or ``None`` where no pause is set."""
+        """Return the ``Groups`` of *call*'s service.
+
+        Returns ``None`` if the route has no limit for the inter-event gap.
+        """
         if not call.streaming or not call.route.pause_ms:
             return None
         found = self.groups_by_service.get(call.service)
@@ -208,11 +211,11 @@
         return found
 
     def group_of(self, member):
-        """The group of ranks that *member* is known to belong to, or ``""``."""
+        """Return the rank group of *member*, or ``""`` if none is known."""
         return self.outages.group_by_address.get(outage.address_of(member), "")
 
     def open_groups(self, service, now):
-        """Members of *service* by group of ranks, for the groups that do not stand."""
+        """Return the members of *service* by rank group, without stalled groups."""
         self.arrange()
         by_group = self.group_members_by_service.get(service, {})
         return {
@@ -222,7 +225,7 @@
         }
 
     def key_lease_ended(self):
-        """Whether keys may have been taken away without our hearing of it."""
+        """Whether keys may have been revoked without this entry knowing it."""
         if not self.key_lease_ms:
             return False
         vouched = self.view.confirmed_ms
@@ -261,17 +264,17 @@
     turn: tuple | None = None
 
     def stop(self):
-        """Drop the try under way."""
+        """Abort the attempt in progress."""
         if self.connection is not None:
             self.connection.close()
 
     def caller_left(self, _reason=None):
-        """The caller closed its connection."""
+        """Abort the call: the caller closed its connection."""
         self.left = True
         self.stop()
 
     def expire(self):
-        """The caller's deadline or the route's timeout is reached."""
+        """Abort the call at the caller's deadline or the route's timeout."""
         self.expired = True
         self.stop()
 
--- a/dunlinpoint/forward/tests/test_capacity.py
+++ b/dunlinpoint/forward/tests/test_capacity.py
@@ -1,6 +1,6 @@
-"""Streams that find no room: how long they wait, and what they are told.
+"""Streams that find no capacity: how long they wait, and how they are refused.
 
-Pattern: demand for experts jumps, and passes are too long for a few of them.
+The demand for experts jumps, and a few decode steps are too long.
 """
 
 import random
@@ -35,7 +35,7 @@
 
 @attrs.define
 class Forwarder:
-    """What the tries of a request need of an entry."""
+    """The part of an entry's state that the attempts of a request use."""
 
     clock: clock.Clock
     found: all_groups.Groups
@@ -83,7 +83,10 @@
 
 @pytest.fixture
 def entry(monkeypatch):
-    """An entry whose group makes passes of the longest allowed length, and its ends."""
+    """A clock, an entry with nine streams at its group, and the list of outcomes.
+
+    An outcome is ``("sent", ms)`` or ``(reason, ms, status, retry_ms)``.
+    """
     reactor = task.Clock()
     ends = []
     forward = Forwarder(clock.Clock(reactor), all_groups.Groups(ALLOWED_MS))
@@ -104,7 +107,7 @@
 
 
 def play(reactor, forward, call, pause_ms):
-    """Have *call* tried for a second with passes of ``pause_ms(now)``."""
+    """Run *call* for a second with decode steps of ``pause_ms(now)``."""
     forward.found.record_gap("g", pause_ms(0), 0)
     tries.run(forward, call)
     for _ in range(100):
@@ -131,13 +134,13 @@
 
 
 def overload(forward):
-    """Passes of the longest allowed length for six seconds, up to now."""
+    """Record six seconds of decode steps just over the limit, up to now."""
     for since_ms in range(6000, -1, -50):
         forward.found.record_gap("g", ALLOWED_MS + 1, forward.clock.now() - since_ms)
 
 
 def test_where_long_passes_last_callers_are_sent_away_at_once(entry):
-    # Guards against requests that draw anew at each look until nearly all are in.
+    # Guards against a new draw at each poll, which admits nearly all requests.
     reactor, forward, ends = entry
     reactor.advance(10)
     overload(forward)
@@ -174,7 +177,7 @@
 
 
 def test_a_stream_that_goes_on_elsewhere_is_not_refused_for_long_passes(entry):
-    # Guards against streams broken off midway while passes are long.
+    # Guards against streams aborted midway while decode steps are long.
     reactor, forward, ends = entry
     reactor.advance(10)
     overload(forward)
@@ -184,7 +187,7 @@
 
 
 def test_a_caller_that_left_while_it_waited_is_sent_nowhere(entry):
-    # Guards against endpoints at work on streams that nobody reads.
+    # Guards against endpoints that generate streams that nobody reads.
     reactor, forward, ends = entry
     call = Call(DEADLINE_MS)
     reactor.callLater(0.05, setattr, call, "left", True)
@@ -193,7 +196,7 @@
 
 
 def calm(forward):
-    """Passes far shorter than allowed, up to now."""
+    """Record a second of decode steps far below the limit, up to now."""
     for since_ms in range(1000, -1, -50):
         forward.found.record_gap("g", 50, forward.clock.now() - since_ms)
 
@@ -204,19 +207,19 @@
 
 
 def opened(forward):
-    """The group has opened a moment ago, and its passes are short."""
+    """Make the group one that has just opened, with short decode steps."""
     forward.outages.opened_ms_by_group["g"] = forward.clock.now()
     calm(forward)
 
 
 def fill(forward):
-    """Have streams in flight up to what late callers may take."""
+    """Add streams until no slot is left for callers past their latency target."""
     while forward.found.free_slots(["g"]):
         forward.found.controller("g").began()
 
 
 def test_a_late_caller_waits_for_a_slot_that_those_in_time_leave(entry):
-    # Guards against all who waited for an outage to end beginning at once.
+    # Guards against all callers that waited for the end of an outage starting at once.
     reactor, forward, ends = entry
     reactor.advance(10)
     opened(forward)
@@ -250,7 +253,7 @@
 
 
 def test_a_late_caller_that_left_keeps_nobody_waiting(entry):
-    # Guards against callers that have gone and stay in the queue.
+    # Guards against callers that have disconnected but stay in the queue.
     reactor, forward, ends = entry
     reactor.advance(10)
     opened(forward)
@@ -268,7 +271,7 @@
 
 
 def test_long_after_an_outage_a_late_caller_waits_for_no_turn(entry):
-    # Guards against callers refused for another reason that wait for seconds.
+    # Guards against callers that were refused for another reason and wait for seconds.
     reactor, forward, ends = entry
     reactor.advance(10)
     opened(forward)
@@ -280,7 +283,8 @@
 
 
 def test_after_an_outage_no_slot_goes_to_who_could_not_be_answered_whole(entry):
-    # Guards against streams that end with their caller's time, in slots of others.
+    # Guards against streams that reach their caller's deadline midway and use slots
+    # that other callers need.
     reactor, forward, ends = entry
     reactor.advance(10)
     opened(forward)
@@ -291,7 +295,7 @@
 
 
 class Standing:
-    """Waiting that looks each 10 ms, and a group that stands until ``opens_ms``."""
+    """Makes the group of *forward* stalled until ``opens_ms``."""
 
     def __init__(self, forward, opens_ms):
         self.clock, self.opens_ms = forward.clock, opens_ms
@@ -304,7 +308,7 @@
 
 @pytest.mark.parametrize("left_ms", [DEADLINE_MS, DEADLINE_MS - 4000])
 def test_a_caller_waits_for_a_standing_group_at_each_try(entry, left_ms):
-    # Guards against a first try that is sent off at once.
+    # Guards against a caller that is refused at once at its first attempt.
     reactor, forward, ends = entry
     Standing(forward, opens_ms=1500)
     tries.run(forward, Call(left_ms))
@@ -330,7 +334,7 @@
 def test_who_is_refused_as_its_group_broke_waits_and_comes_back_late(
     entry, monkeypatch
 ):
-    # Guards against callers told to come back at once, within the outage.
+    # Guards against a ``Retry-After`` that ends while the outage still lasts.
     reactor, forward, ends = entry
     standing = Standing(forward, opens_ms=0)
 
@@ -351,7 +355,7 @@
 
 
 def test_who_could_not_be_answered_whole_any_more_is_not_kept_waiting(entry):
-    # Guards against callers held to the end who could not have been served.
+    # Guards against callers that wait although too little time is left to serve them.
     reactor, forward, ends = entry
     Standing(forward, opens_ms=60_000)
     tries.run(forward, Call(outage.TYPICAL_ANSWER_MS - 1))
@@ -360,14 +364,14 @@
 
 
 def limit(forward, per_s):
-    """The only endpoint names a limit, and has just been sent a request."""
+    """Set a rate limit for the only endpoint, which has just been sent a request."""
     life, now = pick.incarnation_key(MEMBER), forward.clock.now()
     forward.picker.signals.apply(life, endpoint_signals.Signal(per_s), now, now)
     forward.picker.signals.sent(life, now)
 
 
 def test_a_turn_at_a_limited_endpoint_is_waited_for_if_it_is_near(entry):
-    # Guards against callers sent away who would have been in time.
+    # Guards against refusing callers that would have met their latency target.
     reactor, forward, ends = entry
     limit(forward, per_s=10)
     play(reactor, forward, Call(DEADLINE_MS), lambda _now: 50)
@@ -376,7 +380,7 @@
 
 
 def rest(forward, backoff_ms):
-    """The only endpoint asks for rest."""
+    """Set a backoff for the only endpoint."""
     notice = endpoint_signals.Signal(backoff_ms=backoff_ms)
     forward.picker.signals.apply(pick.incarnation_key(MEMBER), notice, 0, 0)
 
@@ -385,7 +389,8 @@
 def test_who_would_wait_too_long_for_an_endpoint_is_sent_away_at_once(
     entry, tell, value, free_ms
 ):
-    # Guards against requests held, or callers back, before an endpoint takes any.
+    # Guards against requests that wait too long, and against callers that retry before
+    # the endpoint accepts requests.
     reactor, forward, ends = entry
     tell(forward, value)
     play(reactor, forward, Call(DEADLINE_MS), lambda _now: 50)
@@ -395,7 +400,7 @@
 
 
 def test_where_all_leave_callers_come_back_soon(entry):
-    # Guards against callers told to wait for endpoints that do not come back.
+    # Guards against a long ``Retry-After`` for endpoints that are shutting down.
     reactor, forward, ends = entry
     leaves = endpoint_signals.Signal(is_draining=True)
     forward.picker.signals.apply(pick.incarnation_key(MEMBER), leaves, 0, 0)
--- a/dunlinpoint/forward/tests/test_events.py
+++ b/dunlinpoint/forward/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Streams cut anywhere and resumed: whole events only, each once, in order."""
+"""Streams interrupted at any byte and resumed: complete events, in order, once each."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -13,7 +13,7 @@
 
 
 def pieces(data, cuts):
-    """*data* in pieces that end at *cuts*."""
+    """Split *data* into pieces that end at *cuts*."""
     edges = sorted({0, len(data), *(c % (len(data) + 1) for c in cuts)})
     return [data[a:b] for a, b in zip(edges, edges[1:], strict=False)]
 
@@ -32,9 +32,9 @@
 @settings(derandomize=True, database=None)
 @given(NUMBERS, st.integers(0, 4000), st.integers(0, 12))
 def test_a_run_that_goes_on_elsewhere_repeats_and_joins_nothing(numbers, cut, back):
-    # Symptom: half an event joined to another run's bytes, or an event twice.
-    # Sequence: a run breaks off anywhere; the next begins up to some events
-    # before the last that was passed on.
+    # Guards against half an event joined to the bytes of another endpoint, and against
+    # duplicate events. A stream is interrupted at any byte; the resumed stream begins
+    # some events before the last one that was passed on.
     data = b"".join(event(n) for n in numbers)
     stream = events.Events()
     out = stream.feed(data[: cut % (len(data) + 1)])
--- a/dunlinpoint/forward/tests/test_exchange.py
+++ b/dunlinpoint/forward/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""What an endpoint is told of a request."""
+"""The priority of a request that is sent to an endpoint."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 class Call:
-    """A request on a route, of a workspace."""
+    """A request on a route with a given priority, of a workspace or of none."""
 
     streaming = True
     deadline_ms = TIMEOUT_MS
@@ -40,12 +40,13 @@
     ],
 )
 def test_the_workspace_decides_how_urgent_a_request_is(route, workspace, told):
-    # Guards against priorities that stay in the document.
+    # Guards against a workspace priority in the document that is not sent to endpoints.
     assert exchange.priority_of(Call(route, workspace), now=0) == told
 
 
 def test_who_is_late_already_is_less_urgent_than_any_who_is_not():
-    # Guards against callers made late by those who waited for an outage to end.
+    # Guards against callers that miss their latency target because of callers that
+    # waited for the end of an outage and have already missed theirs.
     late = [exchange.priority_of(Call(p), now=AIM_MS + 1) for p in range(5)]
     in_time = [exchange.priority_of(Call(p), now=AIM_MS) for p in range(5)]
     assert min(late) > max(in_time)
--- a/dunlinpoint/forward/tests/test_guard.py
+++ b/dunlinpoint/forward/tests/test_guard.py
@@ -1,4 +1,4 @@
-"""When a try at a silent endpoint is ended."""
+"""When an attempt at an unresponsive endpoint is aborted."""
 
 import attrs
 from twisted.internet import defer, task
@@ -45,7 +45,7 @@
 
 
 def silent_for(ms, answers, used_before=False, other_heard=True):
-    """The connection to a silent endpoint after *ms*."""
+    """Return the connection to an unresponsive endpoint after *ms*."""
     reactor = task.Clock()
     reactor.advance(100)
     forward = Forwarder(
@@ -63,10 +63,10 @@
 
 
 def test_a_busy_endpoint_keeps_its_request():
-    # Symptom: callers are told 502 while all endpoints are up. Sequence: a
-    # rank has a long queue; a request waits in it for over a second while the
-    # other ranks send events; it is broken off, waits at the next rank, is
-    # broken off again. Cause: taking a queue for a machine that is gone.
+    # Guards against 502 responses while all endpoints are up. A request waits in the
+    # long queue of one rank for over a second while the other ranks send events. If the
+    # queue is mistaken for an unreachable machine, the attempt is aborted there, and
+    # again at the next rank.
     assert not silent_for(3000, answers=True).closed
 
 
--- a/dunlinpoint/forward/tests/test_pool.py
+++ b/dunlinpoint/forward/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Which kept connections may carry another request."""
+"""Reuse of idle connections."""
 
 from dunlinpoint.forward import pool
 from dunlinpoint.routing import budget
@@ -18,8 +18,8 @@
 
 
 def test_bytes_after_an_answer_end_a_connections_use():
-    # Symptom: a caller gets bytes that belong to no request. Sequence: an
-    # endpoint sends more after a whole answer; the connection is used again.
+    # Guards against a caller that receives bytes of no request: an endpoint sends extra
+    # bytes after a complete response, and the connection is used again.
     found = connection()
     found.has_extra = True
     assert not found.usable(0, pool.IDLE_MS)
@@ -32,7 +32,7 @@
 
 
 def test_retries_are_earned_spent_and_capped():
-    # Pattern: a service that fails broadly; every request wants a second try.
+    # All endpoints of a service fail, so every request needs a second attempt.
     spent = budget.Budget()
     allowed = 0
     for _ in range(400):
--- a/dunlinpoint/forward/tests/test_quarantine.py
+++ b/dunlinpoint/forward/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""How an entry notices that endpoints end under a request, and what it does then."""
+"""Detection and isolation of requests that crash endpoints, at one entry."""
 
 import io
 import random
@@ -36,7 +36,7 @@
 
 @attrs.define
 class Pool:
-    """Endpoints that are closed, by their id."""
+    """A pool that knows which endpoint ids do not listen."""
 
     closed: set = attrs.field(factory=set)
 
@@ -72,7 +72,7 @@
 
 @pytest.fixture
 def entry(monkeypatch):
-    """A clock, an entry, and the reasons of its refusals."""
+    """A clock, an entry, and the list of its refusals."""
     reactor = task.Clock()
     forward = Forwarder(clock.Clock(reactor), quarantine.Quarantine(Sharing()))
     refused = []
@@ -87,7 +87,7 @@
 
 
 def end_endpoints(reactor, forward, lives):
-    """One endpoint after the other ends under the same request."""
+    """Crash one endpoint after the other under the same request."""
     for life in lives:
         forward.pool.closed.add(life)
         quarantine.broke(forward, Call(), member(life))
@@ -95,8 +95,8 @@
 
 
 def test_the_third_endpoint_is_the_last_and_all_are_told(entry):
-    # Symptom: a group stands each time that one caller comes back. Sequence: its
-    # request ends an endpoint at each attempt. Cause: nothing was remembered of it.
+    # Guards against a group that stalls each time one caller retries: the request
+    # crashes an endpoint at each attempt, and no record of it is kept.
     reactor, forward, refused = entry
     end_endpoints(reactor, forward, "ab")
     assert quarantine.enter(forward, Call())
@@ -107,8 +107,8 @@
 
 
 def test_an_endpoint_that_listens_has_not_ended(entry):
-    # Symptom feared: requests refused because connections were reset, answers were cut
-    # off or a network partition healed with resets.
+    # Guards against requests refused because connections were reset, responses were
+    # interrupted, or the end of a network partition reset connections.
     reactor, forward, _ = entry
     for life in "abc":
         quarantine.broke(forward, Call(), member(life))
@@ -122,7 +122,7 @@
     [member("a", incarnation=7), member("b"), member("b", incarnation=2)],
 )
 def test_a_new_start_at_its_place_shows_that_an_endpoint_has_ended(entry, now_there):
-    # Sequence: the endpoint listens again before it was looked for.
+    # The endpoint has restarted and listens again before the check.
     reactor, forward, _ = entry
     quarantine.broke(forward, Call(), member("a"))
     reactor.advance(0.5)
@@ -178,7 +178,7 @@
 
 
 def test_what_other_entries_saw_counts_here(entry):
-    # Sequence: the caller comes back at another entry each time.
+    # The caller retries at another entry each time.
     _, forward, refused = entry
     name = quarantine.digest_of(Call())
     reports = [ttypes.CrashReport(name, life, 1000 * n) for n, life in enumerate("abc")]
@@ -190,7 +190,7 @@
 
 
 def test_a_calm_entry_works_out_no_digest(entry):
-    # What it costs a request where no endpoint ended: nothing is hashed.
+    # Guards against the cost of hashing each request while no endpoint has crashed.
     _, forward, _ = entry
     call = Call()
     assert quarantine.enter(forward, call)
--- a/dunlinpoint/forward/tests/test_routes.py
+++ b/dunlinpoint/forward/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes and keys as they are looked up."""
+"""Lookup of routes and keys."""
 
 import collections
 import random
--- a/dunlinpoint/forward/tests/test_waiting.py
+++ b/dunlinpoint/forward/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait for news, and for how long."""
+"""Waits for a change notification, and their timeout."""
 
 from twisted.internet import task
 
--- a/dunlinpoint/forward/tries.py
+++ b/dunlinpoint/forward/tries.py
@@ -1,4 +1,4 @@
-"""A request's tries: which endpoint next, how often, and when to give up."""
+"""Attempts of a request: selection of endpoints, retries, and the final failure."""
 
 from twisted.internet import defer
 
@@ -9,13 +9,13 @@
 
 log = logs.logger("entry")
 
-# Less than this left is not worth handing to an endpoint.
+# A request with less time left than this is not sent to an endpoint.
 LEAST_LEFT_MS = 10
 
 
 @defer.inlineCallbacks
 def run(forward, call):
-    """Try endpoints until one answers or no other may be tried."""
+    """Try endpoints until one answers or no further attempt is permitted."""
     if not quarantine.enter(forward, call):
         return
     try:
@@ -27,7 +27,7 @@
 
 @defer.inlineCallbacks
 def run_tries(forward, call):
-    """The tries of *call*, which is at a group of ranks meanwhile."""
+    """Make the attempts of *call*; it is counted at a rank group meanwhile."""
     while not call.left:
         if not (yield outlasts(forward, call)):
             return
@@ -67,7 +67,10 @@
 
 
 def next_member(forward, call, by_group, now):
-    """The endpoint to try next: of the call's group if one is left there."""
+    """Return the endpoint to try next, or ``None``.
+
+    Endpoints in the call's current group are preferred.
+    """
     own = [call.group] if call.group in by_group else []
     for group in own + [group for group in by_group if group != call.group]:
         near = (call.service, group) not in forward.uneven_groups
@@ -79,10 +82,10 @@
 
 
 def free_again_ms(forward, call):
-    """When the caller of *call* should come back: once an endpoint takes requests.
+    """Return the ``Retry-After`` (ms) until an endpoint accepts requests again.
 
-    Where all have said that they take none now, callers are spread over the time after
-    it, or they would meet in the same moment.
+    If all endpoints have a backoff or a rate limit, jitter is added, so that callers
+    do not all retry at the same moment.
     """
     now = forward.clock.now()
     available_ms = forward.picker.available_ms(forward.members(call.service), now)
@@ -96,9 +99,10 @@
 
 @defer.inlineCallbacks
 def outlasts(forward, call):
-    """Wait while all groups of *call* stand; with ``False``, it has been answered.
+    """Wait while all groups of *call* are stalled.
 
-    It waits once, as long as its caller stays.
+    Fires with ``False`` if the wait timed out and the final response was sent. A call
+    waits only once, until shortly before its caller would disconnect.
     """
     if not is_standing(forward, call):
         return True
@@ -115,7 +119,7 @@
 
 
 def may_try_again(forward, call, state):
-    """Whether another endpoint may get the request after a try's *state*."""
+    """Whether another attempt may follow one with the outcome *state*."""
     if call.over:
         return False
     if state != exchange.NOT_RUN and not routes.repeatable(call.route):
@@ -123,13 +127,13 @@
     if call.tries >= call.route.max_attempts:
         return False
     if quarantine.suspect_status(forward, call) is not registry.SuspectStatus.CLEAR:
-        # It would end one endpoint more, within one attempt of its caller.
+        # A retry could crash one more endpoint within the same attempt of the caller.
         return False
     return call.tries == 0 or forward.budget.spend(call.service)
 
 
 def is_standing(forward, call):
-    """Whether there are endpoints for *call*, and all their groups stand."""
+    """Whether there are endpoints for *call* and all their groups are stalled."""
     now = forward.clock.now()
     return bool(forward.members(call.service)) and not forward.open_groups(
         call.service, now
@@ -137,19 +141,19 @@
 
 
 def outage_retry_after_ms(forward, call):
-    """When the caller of *call* should come back, whose groups all stand."""
+    """Return the ``Retry-After`` (ms) of *call* while all its groups are stalled."""
     now = forward.clock.now()
     since = forward.outages.outage_start_ms(forward.members(call.service), now)
     return outage.outage_retry_after_ms(since, now, call.deadline_ms - now, forward.rng)
 
 
 def give_up(forward, call, reason, retry_ms=answers.RETRY_AFTER_MS):
-    """The final answer of a request that no endpoint answered."""
+    """Send the final response of a request that no endpoint answered."""
     request = call.request
     if call.left:
         return
     if call.started:
-        # A chunked answer without its last chunk cannot be taken for whole.
+        # Without the last chunk, the caller detects that the response is incomplete.
         forward.counters.incr("gave_up.stream_broken")
         log.warning(
             "stream_broken",
--- a/dunlinpoint/forward/waiting.py
+++ b/dunlinpoint/forward/waiting.py
@@ -1,7 +1,7 @@
-"""Requests that wait for news: a document, an endpoint, a group that opens.
+"""Waits for a change: a new document, a new endpoint or a group that recovers.
 
-Waiting is for what is expected within a second or so and for callers who
-gain by it; whoever can come back instead is sent away at once.
+A request waits only for a change that is expected within about a second and only
+if the caller benefits. All others are refused at once with a ``Retry-After``.
 """
 
 import attrs
@@ -9,19 +9,19 @@
 
 from dunlinpoint import clock
 
-# Most news is heard of at once; this bounds how late the rest is seen.
+# Most changes are notified at once; the rest are noticed after this time at the latest.
 LOOK_MS = 250
 
 
 @attrs.define
 class Waiting:
-    """Those who wait, until the next news."""
+    """Requests that wait for the next change notification."""
 
     clock: clock.Clock
     waiters: list = attrs.field(factory=list)
 
     def news(self):
-        """Have everyone who waits look again."""
+        """Wake all waiters, so that each checks its condition again."""
         waiters, self.waiters = self.waiters, []
         for waiter in waiters:
             self._wake(waiter)
@@ -32,7 +32,10 @@
 
     @defer.inlineCallbacks
     def until(self, ready, limit_ms):
-        """Wait until ``ready()``, at most *limit_ms*; whether it came."""
+        """Wait until ``ready()`` is true, for at most *limit_ms*.
+
+        Fires with ``True``, or with ``False`` on a timeout.
+        """
         ends_ms = self.clock.now() + limit_ms
         while not ready():
             left_ms = ends_ms - self.clock.now()
