--- a/dunlinpoint/entry/app.py
+++ b/dunlinpoint/entry/app.py
@@ -34,8 +34,8 @@
 
 AGENT_TIMEOUT_MS = 3000
 READ_WAIT_MS = 1000
-START_TRIES = 3
-READ_TRIES = 5
+MAX_ATTEMPTS = 3
+MAX_READ_FAILURES = 5
 RETRY_AFTER_S = 1
 
 
@@ -50,7 +50,9 @@
     links: rpc.Links
     clock: clock.Clock
     picker: pick.Picker
-    work: limits.Work = attrs.field(factory=limits.Work)
+    workspace_limiter: limits.InFlightLimiter = attrs.field(
+        factory=limits.InFlightLimiter
+    )
     in_flight: int = 0
     lifecycle: lifecycle.Lifecycle = attrs.field(factory=lifecycle.begin)
 
@@ -66,20 +68,22 @@
             clock.Clock(reactor),
             pick.Picker(zone),
         )
-        entry.view.on_document.append(entry.take)
+        entry.view.on_document.append(entry.apply_document)
         return entry
 
-    def take(self, document):
+    def apply_document(self, document):
         """Apply the workspace limits of a newer document."""
         doc = config.parse(packed.unpack(document.body))
-        self.work.limit_by_name = {w.name: w.max_in_flight for w in doc.workspaces}
+        self.workspace_limiter.limit_by_name = {
+            w.name: w.max_in_flight for w in doc.workspaces
+        }
 
     def link(self, member):
         """Return the thrift link to the agent of *member*."""
         return self.links.to(member.host, member.port)
 
 
-def final(request, status, body, retry_after_s=None):
+def json_response(request, status, body, retry_after_s=None):
     """Set status and headers of a final response; return the JSON body."""
     request.setResponseCode(status)
     request.setHeader("content-type", "application/json")
@@ -97,7 +101,7 @@
     same agent is tried again, where ``start`` is idempotent by request id.
     """
     tried = set()
-    for _ in range(START_TRIES):
+    for _ in range(MAX_ATTEMPTS):
         members = owners.engines(entry.view.live("engine"), entry.zone, order.prompt)
         member = entry.picker.pick(members, entry.clock.now(), tried)
         if member is None:
@@ -110,9 +114,9 @@
             except ttypes.Refused as refused:
                 entry.counters.retried(refused.reason)
                 now = entry.clock.now()
-                notice = endpoint_signals.Signal(backoff_ms=refused.retry_after_ms)
+                signal = endpoint_signals.Signal(backoff_ms=refused.retry_after_ms)
                 entry.picker.signals.apply(
-                    pick.incarnation_key(member), notice, now, now
+                    pick.incarnation_key(member), signal, now, now
                 )
                 break
             except errors.NotSent:
@@ -135,7 +139,7 @@
     def generate(request):
         if entry.lifecycle.is_stopping():
             entry.counters.refused("draining")
-            return final(request, 503, {"outcome": "not_run"}, RETRY_AFTER_S)
+            return json_response(request, 503, {"outcome": "not_run"}, RETRY_AFTER_S)
         body = json.loads(request.content.read() or b"{}")
         request_id = request.getHeader("x-request-id") or uuid.uuid4().hex
         order = ttypes.GenerateOrder(
@@ -146,10 +150,10 @@
             priority=int(body.get("priority", 0)),
             deadline_ms=0,
         )
-        if not entry.work.enter(order.workspace):
+        if not entry.workspace_limiter.acquire(order.workspace):
             entry.counters.refused("workspace_limit")
             answer = {"request_id": request_id, "outcome": "not_run"}
-            return final(request, 429, answer, RETRY_AFTER_S)
+            return json_response(request, 429, answer, RETRY_AFTER_S)
         entry.in_flight += 1
         member = None
         try:
@@ -157,7 +161,7 @@
             if member is None:
                 entry.counters.refused("no_engine")
                 answer = {"request_id": request_id, "outcome": "not_run"}
-                return final(request, 503, answer, RETRY_AFTER_S)
+                return json_response(request, 503, answer, RETRY_AFTER_S)
             entry.picker.began(pick.incarnation_key(member))
             request.setHeader("content-type", "application/x-ndjson")
             request.setHeader("x-request-id", request_id)
@@ -174,7 +178,7 @@
             raise
         finally:
             entry.in_flight -= 1
-            entry.work.leave(order.workspace)
+            entry.workspace_limiter.release(order.workspace)
             if member is not None:
                 entry.picker.ended(pick.incarnation_key(member))
 
@@ -183,7 +187,7 @@
     def call(request, operation):
         if entry.lifecycle.is_stopping():
             entry.counters.refused("draining")
-            return final(request, 503, {"outcome": "not_run"}, RETRY_AFTER_S)
+            return json_response(request, 503, {"outcome": "not_run"}, RETRY_AFTER_S)
         request_id = request.getHeader("x-request-id") or uuid.uuid4().hex
         key = request.getHeader("idempotency-key") or ""
         order = ttypes.CallOrder(
@@ -198,7 +202,7 @@
         finally:
             entry.in_flight -= 1
         answer["request_id"] = request_id
-        return final(request, status, answer, retry)
+        return json_response(request, status, answer, retry)
 
     @web.route("/v1/status", methods=["GET"])
     def status(request):
@@ -232,7 +236,7 @@
         except (errors.WireError, ttypes.Refused) as exc:
             failures += 1
             entry.counters.retried("read_failed")
-            if failures >= READ_TRIES:
+            if failures >= MAX_READ_FAILURES:
                 entry.counters.incr("gave_up.read")
                 return {
                     "request_id": request_id,
@@ -282,8 +286,8 @@
     answer = 503, {"outcome": "not_run"}, RETRY_AFTER_S
     if not ranked:
         entry.counters.refused("no_service")
-    for member in ranked[:START_TRIES]:
-        answer = yield call_one(entry, member, order, key)
+    for member in ranked[:MAX_ATTEMPTS]:
+        answer = yield call_member(entry, member, order, key)
         if answer[1]["outcome"] == "done" or answer[0] == 400:
             return answer
         entry.counters.retried(f"call_{answer[1]['outcome']}")
@@ -291,7 +295,7 @@
 
 
 @defer.inlineCallbacks
-def call_one(entry, member, order, key):
+def call_member(entry, member, order, key):
     """Make one attempt of a service call at *member*.
 
     Returns the same as :func:`call_service`.
--- a/dunlinpoint/entry/limits.py
+++ b/dunlinpoint/entry/limits.py
@@ -11,13 +11,13 @@
 
 
 @attrs.define
-class Work:
+class InFlightLimiter:
     """Requests in flight and limits by workspace name."""
 
     limit_by_name: dict = attrs.field(factory=dict)
     count_by_name: collections.Counter = attrs.field(factory=collections.Counter)
 
-    def enter(self, name):
+    def acquire(self, name):
         """Count a request of workspace *name*; ``False`` if it is over the limit.
 
         A workspace that is not in the document has no limit.
@@ -28,7 +28,7 @@
         self.count_by_name[name] += 1
         return True
 
-    def leave(self, name):
+    def release(self, name):
         """Remove an ended request of workspace *name* from the count."""
         self.count_by_name[name] -= 1
         if not self.count_by_name[name]:
--- a/dunlinpoint/entry/tests/test_start.py
+++ b/dunlinpoint/entry/tests/test_start.py
@@ -8,7 +8,7 @@
 from dunlinpoint.routing import pick
 from dunlinpoint.wire.gen.dunlin import ttypes
 
-REST_MS = 200
+BACKOFF_MS = 200
 MEMBERS = [ttypes.Member(endpoint_id=name, zone="z", slots=4) for name in "ab"]
 
 
@@ -30,7 +30,7 @@
     def call(self, _method, _order):
         self.asked.append(self.name)
         if self.name == "a":
-            return defer.fail(ttypes.Refused("draining", REST_MS))
+            return defer.fail(ttypes.Refused("draining", BACKOFF_MS))
         return defer.succeed(None)
 
 
@@ -47,7 +47,7 @@
         return Link(member.endpoint_id, self.asked)
 
 
-def test_an_agent_that_refuses_is_left_alone_for_as_long_as_it_asks(monkeypatch):
+def test_an_agent_that_refuses_gets_no_request_during_its_backoff(monkeypatch):
     # Guards against requests sent repeatedly to an agent that is draining.
     monkeypatch.setattr(app.owners, "engines", lambda members, *_: members)
     reactor = task.Clock()
@@ -56,6 +56,6 @@
     for _ in range(3):
         app.start(entry, order)
     assert entry.asked == ["a", "b", "b", "b"]
-    reactor.advance(REST_MS / 1000)
+    reactor.advance(BACKOFF_MS / 1000)
     app.start(entry, order)
     assert entry.asked[4:] == ["a", "b"]
--- /dev/null
+++ b/dunlinpoint/forward/attempts.py
@@ -0,0 +1,190 @@
+"""Attempts of a request: selection of endpoints, retries, and the final failure."""
+
+from twisted.internet import defer
+
+from dunlinpoint import logs
+from dunlinpoint.forward import capacity, exchange, quarantine, responses, routes
+from dunlinpoint.routing import outage, pick
+from dunlinpoint.suspects import registry
+
+log = logs.logger("entry")
+
+# A request with less time left than this is not sent to an endpoint.
+MIN_REMAINING_MS = 10
+
+
+@defer.inlineCallbacks
+def run(forwarder, call):
+    """Try endpoints until one answers or no further attempt is permitted."""
+    if not quarantine.enter(forwarder, call):
+        return
+    try:
+        yield run_attempts(forwarder, call)
+    finally:
+        capacity.leave(forwarder, call)
+        quarantine.leave(forwarder, call)
+
+
+@defer.inlineCallbacks
+def run_attempts(forwarder, call):
+    """Make the attempts of *call*; it is counted at a rank group meanwhile."""
+    while not call.disconnected:
+        if not (yield wait_while_stalled(forwarder, call)):
+            return
+        now = forwarder.clock.now()
+        by_group = forwarder.available_groups(call.service, now)
+        found = capacity.find_group(forwarder, call, by_group, now)
+        if found is capacity.JoinResult.FULL and now < capacity.wait_limit_ms(call):
+            yield forwarder.clock.sleep(capacity.poll_interval_ms(call))
+            continue
+        if found is not capacity.JoinResult.JOINED:
+            capacity.refuse(forwarder, call, found)
+            return
+        member = next_member(forwarder, call, by_group, now)
+        if member is None:
+            members = [m for inside in by_group.values() for m in inside]
+            available_ms = forwarder.picker.available_ms(members, now, call.tried)
+            if available_ms is not None and available_ms <= capacity.wait_limit_ms(
+                call
+            ):
+                yield forwarder.clock.sleep(available_ms - now)
+                continue
+            reason = "no_endpoint" if available_ms is None else "limited"
+            give_up(forwarder, call, reason, available_retry_after_ms(forwarder, call))
+            return
+        if call.deadline_ms - now < MIN_REMAINING_MS:
+            give_up(forwarder, call, "too_late")
+            return
+        forwarder.outages.probe(member, now)
+        call.tried.add(pick.incarnation_key(member))
+        outcome = yield exchange.make_attempt(forwarder, call, member)
+        if outcome == exchange.DONE or call.disconnected:
+            return
+        if outcome == exchange.NOT_RUN and not (
+            yield wait_while_stalled(forwarder, call)
+        ):
+            return
+        if not may_retry(forwarder, call, outcome):
+            give_up(forwarder, call, outcome, available_retry_after_ms(forwarder, call))
+            return
+        forwarder.counters.retried(outcome)
+
+
+def next_member(forwarder, call, by_group, now):
+    """Return the endpoint to try next, or ``None``.
+
+    Endpoints in the call's current group are preferred.
+    """
+    own = [call.group] if call.group in by_group else []
+    for group in own + [group for group in by_group if group != call.group]:
+        near = (call.service, group) not in forwarder.uneven_groups
+        member = forwarder.picker.pick(by_group[group], now, call.tried, near)
+        if member is not None:
+            capacity.assign_group(forwarder, call, group)
+            return member
+    return None
+
+
+def available_retry_after_ms(forwarder, call):
+    """Return the ``Retry-After`` (ms) until an endpoint accepts requests again.
+
+    If all endpoints have a backoff or a rate limit, jitter is added, so that callers
+    do not all retry at the same moment.
+    """
+    now = forwarder.clock.now()
+    available_ms = forwarder.picker.available_ms(forwarder.members(call.service), now)
+    if available_ms is None or available_ms <= now:
+        return responses.RETRY_AFTER_MS
+    wanted_ms = max(
+        responses.RETRY_AFTER_MS, available_ms - now
+    ) * forwarder.rng.uniform(1, 2)
+    return min(wanted_ms, outage.max_retry_after_ms(call.deadline_ms - now))
+
+
+@defer.inlineCallbacks
+def wait_while_stalled(forwarder, call):
+    """Wait while all groups of *call* are stalled.
+
+    Fires with ``False`` if the wait timed out and the final response was sent. A call
+    waits only once, until shortly before its caller would disconnect.
+    """
+    if not is_stalled(forwarder, call):
+        return True
+    if call.streaming and not call.waited:
+        call.waited = True
+        limit_ms = capacity.disconnect_limit_ms(call) - forwarder.clock.now()
+        yield forwarder.changes.wait_for(
+            lambda: call.is_over or not is_stalled(forwarder, call), limit_ms
+        )
+        if not call.is_over and not is_stalled(forwarder, call):
+            return True
+    give_up(forwarder, call, "group_stands", outage_retry_after_ms(forwarder, call))
+    return False
+
+
+def may_retry(forwarder, call, outcome):
+    """Whether another attempt may follow one that ended with *outcome*."""
+    if call.is_over:
+        return False
+    if outcome != exchange.NOT_RUN and not routes.is_repeatable(call.route):
+        return False
+    if call.attempts >= call.route.max_attempts:
+        return False
+    if quarantine.suspect_status(forwarder, call) is not registry.SuspectStatus.CLEAR:
+        # A retry could crash one more endpoint within the same attempt of the caller.
+        return False
+    return call.attempts == 0 or forwarder.budget.spend(call.service)
+
+
+def is_stalled(forwarder, call):
+    """Whether there are endpoints for *call* and all their groups are stalled."""
+    now = forwarder.clock.now()
+    return bool(forwarder.members(call.service)) and not forwarder.available_groups(
+        call.service, now
+    )
+
+
+def outage_retry_after_ms(forwarder, call):
+    """Return the ``Retry-After`` (ms) of *call* while all its groups are stalled."""
+    now = forwarder.clock.now()
+    since = forwarder.outages.outage_start_ms(forwarder.members(call.service), now)
+    return outage.outage_retry_after_ms(
+        since, now, call.deadline_ms - now, forwarder.rng
+    )
+
+
+def give_up(forwarder, call, reason, retry_ms=responses.RETRY_AFTER_MS):
+    """Send the final response of a request that no endpoint answered."""
+    request = call.request
+    if call.disconnected:
+        return
+    if call.started:
+        # Without the last chunk, the caller detects that the response is incomplete.
+        forwarder.counters.incr("gave_up.stream_broken")
+        log.warning(
+            "stream_broken",
+            request=exchange.header_text(call.request_id),
+            reason=reason,
+            events=call.events.count,
+            **exchange.log_fields(forwarder, call),
+        )
+        request.channel.loseConnection()
+    elif call.last_failure is not None:
+        head, body = call.last_failure
+        forwarder.counters.incr("answered.endpoint_failure")
+        responses.copy_head(request, head, len(body))
+        responses.finish(forwarder, request, body)
+    elif not call.may_have_run:
+        responses.respond(
+            forwarder,
+            request,
+            503,
+            reason,
+            retry_ms,
+            **exchange.log_fields(forwarder, call),
+        )
+    else:
+        status = 504 if call.expired else 502
+        responses.respond(
+            forwarder, request, status, reason, **exchange.log_fields(forwarder, call)
+        )
--- a/dunlinpoint/forward/capacity.py
+++ b/dunlinpoint/forward/capacity.py
@@ -3,7 +3,7 @@
 import enum
 
 from dunlinpoint import logs
-from dunlinpoint.forward import answers
+from dunlinpoint.forward import responses
 from dunlinpoint.routing import admission_control, latency, outage
 
 log = logs.logger("entry")
@@ -17,14 +17,14 @@
 # Maximum wait for capacity as a share of the latency target of the first event. Prompt
 # processing takes most of the rest.
 WAIT_SHARE = 0.5
-WAIT_MS = 300
+MAX_WAIT_MS = 300
 # A few polls per decode step.
 POLL_INTERVAL_MS = 25
 # The same for callers that are queued after an outage, which wait longer.
-TURN_LOOK_MS = 50
+QUEUED_POLL_INTERVAL_MS = 50
 
 
-class Room(enum.Enum):
+class JoinResult(enum.Enum):
     """Result of the search for a group.
 
     ``JOINED``: the request was assigned to a group. ``FULL``: no group has capacity
@@ -36,12 +36,12 @@
     OVERLOADED = "overloaded"
 
 
-def join(forward, call, group):
+def assign_group(forwarder, call, group):
     """Assign *call* to the rank group *group* (``None`` for no group).
 
     Its stream is no longer counted at its previous group.
     """
-    groups = forward.groups(call)
+    groups = forwarder.groups(call)
     if groups is None or call.group == group:
         return
     if call.group is not None:
@@ -62,18 +62,18 @@
     )
 
 
-def leaves_ms(call):
+def disconnect_limit_ms(call):
     """Return until when (ms) *call* may wait and still receive a complete response.
 
     A caller disconnects if it receives no event for a certain time, and its deadline
     must leave enough time for the response.
     """
     event_timeout_ms = outage.event_timeout_ms(call.route.aim_ms, call.route.pause_ms)
-    until_ms = call.heard_ms + event_timeout_ms - outage.FIRST_EVENT_RESERVE_MS
+    until_ms = call.last_event_ms + event_timeout_ms - outage.FIRST_EVENT_RESERVE_MS
     return min(until_ms, call.deadline_ms - outage.TYPICAL_ANSWER_MS)
 
 
-def wait_until(call):
+def wait_limit_ms(call):
     """Return until when (ms) *call* waits for capacity.
 
     A wait of a few decode steps covers a jump in demand, whereas a caller that is
@@ -81,68 +81,68 @@
     an outage waits until shortly before it would disconnect.
     """
     if call.turn is not None:
-        return leaves_ms(call)
-    wait_ms = min(WAIT_SHARE * call.route.aim_ms, WAIT_MS)
+        return disconnect_limit_ms(call)
+    wait_ms = min(WAIT_SHARE * call.route.aim_ms, MAX_WAIT_MS)
     return min(call.arrived_ms + wait_ms, call.deadline_ms)
 
 
-def look_ms(call):
+def poll_interval_ms(call):
     """Return the interval (ms) at which *call* polls for capacity."""
-    return POLL_INTERVAL_MS if call.turn is None else TURN_LOOK_MS
+    return POLL_INTERVAL_MS if call.turn is None else QUEUED_POLL_INTERVAL_MS
 
 
-def find(forward, call, by_group, now):
-    """Assign *call* to a group of *by_group* that has capacity; return a ``Room``.
+def find_group(forwarder, call, by_group, now):
+    """Assign *call* to a group of *by_group* with capacity; return a ``JoinResult``.
 
     A request that was admitted before is not refused when it moves to another
     group, since it adds no load overall.
     """
-    groups = forward.groups(call)
+    groups = forwarder.groups(call)
     if groups is None or call.group in by_group or not by_group:
-        return Room.JOINED
+        return JoinResult.JOINED
     left_ms = call.deadline_ms - now
-    returned = admission_control.is_caller_retry(left_ms, call.route.timeout_ms)
+    is_retry = admission_control.is_caller_retry(left_ms, call.route.timeout_ms)
     if call.group is not None:
-        group = groups.choose(by_group, now, returned, forward.rng)
-        join(forward, call, group or next(iter(by_group)))
-        return Room.JOINED
-    if call.draw is None:
+        group = groups.choose(by_group, now, is_retry, forwarder.rng)
+        assign_group(forwarder, call, group or next(iter(by_group)))
+        return JoinResult.JOINED
+    if call.admission_draw is None:
         # Drawn only once per request: with a new draw at each poll, an admitted share
         # of a tenth admitted two of three callers.
-        call.draw = forward.rng.random()
+        call.admission_draw = forwarder.rng.random()
     # After an outage the first decode steps are long however many requests are refused,
     # and callers past their latency target are queued there, so groups that opened
     # recently are not checked for overload.
-    settled = [g for g in by_group if not forward.outages.opened_recently(g, now)]
-    usable = groups.not_overloaded(settled, now, returned, call.draw)
-    usable += [group for group in by_group if group not in settled]
-    note_overload(forward, call.service, groups, settled, now)
+    stable = [g for g in by_group if not forwarder.outages.opened_recently(g, now)]
+    usable = groups.not_overloaded(stable, now, is_retry, call.admission_draw)
+    usable += [group for group in by_group if group not in stable]
+    log_overload(forwarder, call.service, groups, stable, now)
     if not usable:
-        return Room.OVERLOADED
+        return JoinResult.OVERLOADED
     if is_past_latency_target(call, now):
-        usable = open_to_late(forward, call, usable, now)
+        usable = groups_past_target(forwarder, call, usable, now)
         if not usable:
-            return Room.FULL
-    group = groups.choose(usable, now, returned, forward.rng)
+            return JoinResult.FULL
+    group = groups.choose(usable, now, is_retry, forwarder.rng)
     if group is None:
-        return Room.FULL
-    join(forward, call, group)
-    return Room.JOINED
+        return JoinResult.FULL
+    assign_group(forwarder, call, group)
+    return JoinResult.JOINED
 
 
-def open_to_late(forward, call, usable, now):
+def groups_past_target(forwarder, call, usable, now):
     """Return the groups of *usable* that *call* may join past its latency target.
 
     For a group that opened recently, the call is queued for a slot.
     """
-    settled = [g for g in usable if not forward.outages.opened_recently(g, now)]
-    if settled:
-        return settled
-    groups = forward.groups(call)
+    stable = [g for g in usable if not forwarder.outages.opened_recently(g, now)]
+    if stable:
+        return stable
+    groups = forwarder.groups(call)
     if call.turn is None:
         left_ms = call.deadline_ms - call.arrived_ms
-        returned = admission_control.is_caller_retry(left_ms, call.route.timeout_ms)
-        call.turn = not returned, leaves_ms(call), id(call)
+        is_retry = admission_control.is_caller_retry(left_ms, call.route.timeout_ms)
+        call.turn = not is_retry, disconnect_limit_ms(call), id(call)
         groups.queue.enter(call.turn)
     if call.deadline_ms - now < outage.TYPICAL_ANSWER_MS:
         return []
@@ -151,24 +151,24 @@
     return list(spare) if is_next else []
 
 
-def leave(forward, call):
+def leave(forwarder, call):
     """Remove *call*, which has ended, from its group and from the queue."""
-    join(forward, call, None)
+    assign_group(forwarder, call, None)
     if call.turn is not None:
-        forward.groups(call).queue.leave(call.turn)
+        forwarder.groups(call).queue.leave(call.turn)
 
 
-def note_overload(forward, service, groups, by_group, now):
+def log_overload(forwarder, service, groups, by_group, now):
     """Log the start and the end of an overload of each group of *by_group*."""
     for group in by_group:
         found = groups.controller(group)
         share = found.long_window_admitted_share(now)
         key = service, group
-        if (share < 1) == (key in forward.overloaded):
+        if (share < 1) == (key in forwarder.overloaded_groups):
             continue
-        forward.overloaded ^= {key}
+        forwarder.overloaded_groups ^= {key}
         if share < 1:
-            forward.counters.incr("overload_began")
+            forwarder.counters.incr("overload_began")
         log.info(
             "overload",
             service=service,
@@ -180,23 +180,23 @@
         )
 
 
-def refuse(forward, call, found):
+def refuse(forwarder, call, found):
     """Refuse *call* because of *found* (``FULL`` or ``OVERLOADED``).
 
     The response has a ``Retry-After`` that the caller's deadline permits.
     """
-    groups, now = forward.groups(call), forward.clock.now()
-    paces = [groups.controller(group) for group in groups.share_by_group]
-    lasting = found is Room.OVERLOADED
-    retry_ms = forward.rng.uniform(*(OVERLOAD_RETRY_MS if lasting else RETRY_MS))
-    answers.answer(
-        forward,
+    groups, now = forwarder.groups(call), forwarder.clock.now()
+    controllers = [groups.controller(group) for group in groups.share_by_group]
+    is_overload = found is JoinResult.OVERLOADED
+    retry_ms = forwarder.rng.uniform(*(OVERLOAD_RETRY_MS if is_overload else RETRY_MS))
+    responses.respond(
+        forwarder,
         call.request,
         503,
         found.value,
         min(retry_ms, outage.max_retry_after_ms(call.deadline_ms - now)),
         service=call.service,
-        pause_ms=[seen.median_gap_ms for seen in paces],
-        lasting_ms=[round(seen.long_window.value, 1) for seen in paces],
-        let_in=[round(seen.admitted_share(now), 2) for seen in paces],
+        pause_ms=[seen.median_gap_ms for seen in controllers],
+        lasting_ms=[round(seen.long_window.value, 1) for seen in controllers],
+        let_in=[round(seen.admitted_share(now), 2) for seen in controllers],
     )
--- a/dunlinpoint/forward/waiting.py
+++ b/dunlinpoint/forward/condition.py
@@ -10,17 +10,17 @@
 from dunlinpoint import clock
 
 # Most changes are notified at once; the rest are noticed after this time at the latest.
-LOOK_MS = 250
+POLL_INTERVAL_MS = 250
 
 
 @attrs.define
-class Waiting:
+class Condition:
     """Requests that wait for the next change notification."""
 
     clock: clock.Clock
     waiters: list = attrs.field(factory=list)
 
-    def news(self):
+    def notify_all(self):
         """Wake all waiters, so that each checks its condition again."""
         waiters, self.waiters = self.waiters, []
         for waiter in waiters:
@@ -31,19 +31,21 @@
             waiter.callback(None)
 
     @defer.inlineCallbacks
-    def until(self, ready, limit_ms):
-        """Wait until ``ready()`` is true, for at most *limit_ms*.
+    def wait_for(self, ready, timeout_ms):
+        """Wait until ``ready()`` is true, for at most *timeout_ms*.
 
         Fires with ``True``, or with ``False`` on a timeout.
         """
-        ends_ms = self.clock.now() + limit_ms
+        ends_ms = self.clock.now() + timeout_ms
         while not ready():
             left_ms = ends_ms - self.clock.now()
             if left_ms <= 0:
                 return False
             waiter = defer.Deferred()
             self.waiters.append(waiter)
-            timer = self.clock.call_later(min(left_ms, LOOK_MS), self._wake, waiter)
+            timer = self.clock.call_later(
+                min(left_ms, POLL_INTERVAL_MS), self._wake, waiter
+            )
             yield waiter
             if timer.active():
                 timer.cancel()
--- a/dunlinpoint/forward/exchange.py
+++ b/dunlinpoint/forward/exchange.py
@@ -5,8 +5,8 @@
 - Complete and authentic responses: a response is accepted only with the endpoint's
   signature and the echoed request id. Plain responses are passed on when complete,
   streams event by event; an interrupted stream is never terminated as if complete.
-- Reliable 503: it is sent only if no attempt has run. After any attempt that may
-  have run, the caller receives 502 or 504.
+- Reliable 503: it is sent only if certainly no attempt has run. After any attempt that
+  may have run, the caller receives 502 or 504.
 - At most once: a request that must not be repeated is sent to another endpoint only
   if the previous one certainly did not run it.
 - Early failure: when no further attempt is possible, the final response is sent at
@@ -19,124 +19,126 @@
 from twisted.web import http_headers
 
 from dunlinpoint import logs
-from dunlinpoint.forward import answers, capacity, pool, quarantine, routes
-from dunlinpoint.forward import guard as guards
+from dunlinpoint.forward import capacity, pool, quarantine, responses, routes
+from dunlinpoint.forward import watchdog as watchdogs
 from dunlinpoint.routing import pick
 
 log = logs.logger("entry")
 
-OWN_HEADERS = {b"content-length", b"authorization", b"expect"}
-LEAST_URGENT = 9
+NOT_FORWARDED_HEADERS = {b"content-length", b"authorization", b"expect"}
+LOWEST_PRIORITY = 9
 # Added to the priority value of a request past its latency target: a request that
 # takes its slot instead can still meet the target.
-LATE_PRIORITY = 5
+LATE_PRIORITY_PENALTY = 5
 # Outcomes of an attempt.
 DONE, NOT_RUN, BROKEN, FAILED = "done", "not_run", "broken", "failed"
 
 
-def text(value):
+def header_text(value):
     """Return header bytes as ``str`` for a log line."""
     return value.decode("latin-1") if value is not None else None
 
 
-def told(forward, call):
+def log_fields(forwarder, call):
     """Return the log fields of *call* other than its id."""
     return {
         "route": call.route.name,
         "service": call.service,
-        "tries": call.tries,
-        "left_ms": call.deadline_ms - forward.clock.now(),
+        "tries": call.attempts,
+        "left_ms": call.deadline_ms - forwarder.clock.now(),
     }
 
 
 @defer.inlineCallbacks
-def one_try(forward, call, member):
+def make_attempt(forwarder, call, member):
     """Make one attempt at *member*, log it, and return its outcome."""
-    began_ms = forward.clock.now()
-    call.at_endpoint = forward.picker.record(pick.incarnation_key(member)).in_flight
+    began_ms = forwarder.clock.now()
+    call.in_flight_at_endpoint = forwarder.picker.record(
+        pick.incarnation_key(member)
+    ).in_flight
     events_before = call.events.count
-    state = yield send_to(forward, call, member)
-    took_ms = forward.clock.now() - began_ms
-    forward.counters.observe_ms("try", took_ms)
-    if state == DONE:
-        quarantine.served(forward, call)
-    elif state == BROKEN and not call.over and call.events.count == events_before:
-        quarantine.broke(forward, call, member)
-    if state != DONE:
+    outcome = yield send_to(forwarder, call, member)
+    took_ms = forwarder.clock.now() - began_ms
+    forwarder.counters.observe_ms("try", took_ms)
+    if outcome == DONE:
+        quarantine.request_served(forwarder, call)
+    elif outcome == BROKEN and not call.is_over and call.events.count == events_before:
+        quarantine.connection_ended(forwarder, call, member)
+    if outcome != DONE:
         log.warning(
             "try_ended",
-            request=text(call.request_id),
-            outcome=state,
+            request=header_text(call.request_id),
+            outcome=outcome,
             endpoint_id=member.endpoint_id,
-            at_endpoint=call.at_endpoint,
-            generation=forward.view.generation,
+            at_endpoint=call.in_flight_at_endpoint,
+            generation=forwarder.view.generation,
             took_ms=took_ms,
             events=call.events.count - events_before,
-            **told(forward, call),
+            **log_fields(forwarder, call),
         )
-    return state
+    return outcome
 
 
 @defer.inlineCallbacks
-def send_to(forward, call, member):
+def send_to(forwarder, call, member):
     """Send the request to *member*; return the outcome of the attempt."""
-    name = pick.incarnation_key(member)
-    forward.picker.began(name)
-    forward.picker.signals.sent(name, forward.clock.now())
-    guard = None
+    incarnation = pick.incarnation_key(member)
+    forwarder.picker.began(incarnation)
+    forwarder.picker.signals.sent(incarnation, forwarder.clock.now())
+    watchdog = None
     try:
-        connection = yield forward.pool.connect(
-            member, routes.repeatable(call.route) and not call.streaming
+        connection = yield forwarder.pool.connect(
+            member, routes.is_repeatable(call.route) and not call.streaming
         )
         call.connection = connection
-        if call.over:
+        if call.is_over:
             connection.close()
             return NOT_RUN
-        call.tries += 1
-        if call.tries == 1:
-            forward.budget.earn(call.service)
-        guard = guards.start(forward, call, member, connection)
-        state = yield exchange(forward, call, member, connection)
+        call.attempts += 1
+        if call.attempts == 1:
+            forwarder.budget.earn(call.service)
+        watchdog = watchdogs.start(forwarder, call, member, connection)
+        outcome = yield exchange(forwarder, call, member, connection)
     except pool.NotSent:
-        forward.counters.retried("endpoint_unreachable")
-        forward.picker.failed(name, forward.clock.now())
+        forwarder.counters.retried("endpoint_unreachable")
+        forwarder.picker.failed(incarnation, forwarder.clock.now())
         return NOT_RUN
     except pool.Broken:
         call.may_have_run = True
-        if not call.over:
-            forward.picker.failed(name, forward.clock.now())
+        if not call.is_over:
+            forwarder.picker.failed(incarnation, forwarder.clock.now())
         return BROKEN
     finally:
         call.connection = None
-        forward.picker.ended(name)
-        if guard is not None:
-            guard.stop()
-    if state == DONE:
-        forward.picker.succeeded(name)
-        forward.outages.data_received(member)
-        note_done(forward, call, member)
-    elif state == FAILED:
+        forwarder.picker.ended(incarnation)
+        if watchdog is not None:
+            watchdog.stop()
+    if outcome == DONE:
+        forwarder.picker.succeeded(incarnation)
+        forwarder.outages.data_received(member)
+        record_done(forwarder, call, member)
+    elif outcome == FAILED:
         call.may_have_run = True
-    return state
+    return outcome
 
 
-def note_done(forward, call, member):
+def record_done(forwarder, call, member):
     """Log and time a request that *member* has answered."""
-    took_ms = forward.clock.now() - call.arrived_ms
-    forward.counters.observe_ms("answer", took_ms)
+    took_ms = forwarder.clock.now() - call.arrived_ms
+    forwarder.counters.observe_ms("answer", took_ms)
     log.info(
         "answered",
-        request=text(call.request_id),
+        request=header_text(call.request_id),
         workspace=call.workspace.name if call.workspace else None,
         endpoint_id=member.endpoint_id,
-        at_endpoint=call.at_endpoint,
-        generation=forward.view.generation,
-        version=forward.table.version,
+        at_endpoint=call.in_flight_at_endpoint,
+        generation=forwarder.view.generation,
+        version=forwarder.table.version,
         status=call.request.code,
         took_ms=took_ms,
         first_ms=call.first_ms,
         events=call.events.count,
-        **told(forward, call),
+        **log_fields(forwarder, call),
     )
 
 
@@ -146,25 +148,25 @@
     if call.workspace is not None and call.workspace.priority is not None:
         priority = call.workspace.priority
     if call.streaming and capacity.is_past_latency_target(call, now):
-        priority += LATE_PRIORITY
-    return min(max(priority, 0), LEAST_URGENT)
+        priority += LATE_PRIORITY_PENALTY
+    return min(max(priority, 0), LOWEST_PRIORITY)
 
 
-def outgoing(forward, call, member):
+def build_message(forwarder, call, member):
     """Return the request as it is sent to *member*."""
-    named = answers.header(call.request, b"connection") or ""
-    dropped = answers.HOP_BY_HOP | {
+    named = responses.header(call.request, b"connection") or ""
+    dropped = responses.HOP_BY_HOP | {
         n.strip().lower().encode() for n in named.split(",")
     }
-    dropped |= OWN_HEADERS
-    own = forward.names
+    dropped |= NOT_FORWARDED_HEADERS
+    own = forwarder.names
     headers = http_headers.Headers()
     for name, values in call.request.requestHeaders.getAllRawHeaders():
         if name.lower() not in dropped:
             headers.setRawHeaders(name, values)
-    now = forward.clock.now()
-    left = call.deadline_ms - now
-    headers.setRawHeaders(own.deadline_ms, [b"%d" % max(1, left)])
+    now = forwarder.clock.now()
+    remaining_ms = call.deadline_ms - now
+    headers.setRawHeaders(own.deadline_ms, [b"%d" % max(1, remaining_ms)])
     headers.setRawHeaders(own.endpoint_id, [member.endpoint_id.encode()])
     headers.removeHeader(own.workspace)
     if call.workspace is not None:
@@ -178,69 +180,71 @@
 
 
 @defer.inlineCallbacks
-def exchange(forward, call, member, connection):
+def exchange(forwarder, call, member, connection):
     """Exchange one request and response with *member*; return the outcome.
 
     Raises ``Broken``.
     """
-    sent_ms = forward.clock.now()
-    head = yield pool.send(connection, outgoing(forward, call, member))
-    own = forward.names
+    sent_ms = forwarder.clock.now()
+    head = yield pool.send(connection, build_message(forwarder, call, member))
+    own = forwarder.names
     echoed = head.headers.getRawHeaders(own.request_id, [None])[-1]
     if call.request_id is not None and echoed != call.request_id:
-        forward.counters.incr("dropped.foreign_answer")
-        raise closing(connection, "request id in the response does not match")
-    notice = forward.read_signal(head.code, head.headers)
-    now = forward.clock.now()
-    forward.picker.signals.apply(pick.incarnation_key(member), notice, sent_ms, now)
+        forwarder.counters.incr("dropped.foreign_answer")
+        raise close_as_broken(connection, "request id in the response does not match")
+    signal = forwarder.read_signal(head.code, head.headers)
+    now = forwarder.clock.now()
+    forwarder.picker.signals.apply(pick.incarnation_key(member), signal, sent_ms, now)
     if head.headers.hasHeader(own.not_run) or head.code == 421:
-        yield drained(connection, head)
-        not_run(forward, member, head)
+        yield drain_body(connection, head)
+        record_not_run(forwarder, member, head)
         return NOT_RUN
     good = 200 <= head.code < 300
     if good and not head.headers.hasHeader(own.signature):
-        raise closing(connection, "successful response without signature header")
+        raise close_as_broken(
+            connection, "successful response without signature header"
+        )
     if head.headers.hasHeader(b"content-encoding"):
-        raise closing(connection, "response body has a content encoding")
+        raise close_as_broken(connection, "response body has a content encoding")
     if good and call.streaming:
-        yield relay(forward, call, member, connection, head)
-        forward.counters.incr("answered.stream")
-        answers.finish(forward, call.request)
+        yield relay(forwarder, call, member, connection, head)
+        forwarder.counters.incr("answered.stream")
+        responses.finish(forwarder, call.request)
         return DONE
     body = bytearray()
     yield pool.read(connection, head, body.extend)
     if head.code >= 500:
         call.last_failure = head, bytes(body)
         return FAILED
-    if call.over:
-        raise closing(connection, "caller disconnected")
-    forward.counters.incr("answered.plain")
-    answers.copy_head(call.request, head, len(body))
-    answers.finish(forward, call.request, bytes(body))
+    if call.is_over:
+        raise close_as_broken(connection, "caller disconnected")
+    forwarder.counters.incr("answered.plain")
+    responses.copy_head(call.request, head, len(body))
+    responses.finish(forwarder, call.request, bytes(body))
     return DONE
 
 
-def not_run(forward, member, head):
+def record_not_run(forwarder, member, head):
     """Record that *member* did not run a request, and which endpoint caused it."""
-    forward.counters.incr("endpoint.not_run")
-    now = forward.clock.now()
-    at_fault = head.headers.getRawHeaders(forward.names.fault_at, [b""])[-1]
+    forwarder.counters.incr("endpoint.not_run")
+    now = forwarder.clock.now()
+    at_fault = head.headers.getRawHeaders(forwarder.names.fault_at, [b""])[-1]
     elsewhere = at_fault and at_fault.decode("latin-1") != member.endpoint_id
     # 421 means that another endpoint has this address now: no group is stalled.
-    if head.code == 503 and elsewhere and forward.outages.suspect(member, now):
-        forward.counters.incr("endpoint.group_stands")
+    if head.code == 503 and elsewhere and forwarder.outages.suspect(member, now):
+        forwarder.counters.incr("endpoint.group_stands")
     else:
-        forward.picker.failed(pick.incarnation_key(member), now)
+        forwarder.picker.failed(pick.incarnation_key(member), now)
 
 
-def closing(connection, why):
+def close_as_broken(connection, why):
     """Close *connection*; return the ``Broken`` to raise."""
     connection.close()
     return pool.Broken(why)
 
 
 @defer.inlineCallbacks
-def drained(connection, head):
+def drain_body(connection, head):
     """Read the body of a refusal, so that its connection can be reused."""
     try:
         yield pool.read(connection, head, len)
@@ -249,39 +253,39 @@
 
 
 @defer.inlineCallbacks
-def relay(forward, call, member, connection, head):
+def relay(forwarder, call, member, connection, head):
     """Pass on the complete events of a stream as they arrive."""
     request = call.request
     call.events.restart()
-    groups = forward.groups(call)
+    groups = forwarder.groups(call)
     last_ms = None
 
     def on_data(data):
         nonlocal last_ms
-        now = forward.clock.now()
-        forward.picker.data_received(pick.incarnation_key(member), now)
-        forward.outages.data_received(member)
+        now = forwarder.clock.now()
+        forwarder.picker.data_received(pick.incarnation_key(member), now)
+        forwarder.outages.data_received(member)
         out = call.events.feed(data)
-        if not out or call.over:
+        if not out or call.is_over:
             return
         if last_ms is not None:
-            forward.counters.observe_ms("pause", now - last_ms)
+            forwarder.counters.observe_ms("pause", now - last_ms)
             if groups is not None:
                 groups.record_gap(call.group, now - last_ms, now)
         if call.first_ms is None:
             call.first_ms = now - call.arrived_ms
-            forward.counters.observe_ms("first_event", call.first_ms)
-        last_ms = call.heard_ms = now
+            forwarder.counters.observe_ms("first_event", call.first_ms)
+        last_ms = call.last_event_ms = now
         if not call.started:
             call.started = True
-            answers.copy_head(request, head, None)
+            responses.copy_head(request, head, None)
         request.write(out)
 
     yield pool.read(connection, head, on_data)
-    if call.over:
-        raise closing(connection, "caller disconnected")
+    if call.is_over:
+        raise close_as_broken(connection, "caller disconnected")
     if call.events.partial:
-        raise closing(connection, "stream ended within an event")
+        raise close_as_broken(connection, "stream ended within an event")
     if not call.started:
         call.started = True
-        answers.copy_head(request, head, None)
+        responses.copy_head(request, head, None)
--- a/dunlinpoint/forward/pool.py
+++ b/dunlinpoint/forward/pool.py
@@ -28,12 +28,12 @@
 from dunlinpoint.routing import pick
 
 CONNECT_TIMEOUT_MS = 400
-IDLE_MS = 2000
+MAX_IDLE_MS = 2000
 # Subtracted from an endpoint's Keep-Alive timeout to allow for the network latency.
 KEEP_ALIVE_MARGIN_MS = 700
 # Maximum idle time of a connection for a request that must not run twice.
-FRESH_MS = 500
-MAX_IDLE = 8
+UNREPEATABLE_MAX_IDLE_MS = 500
+MAX_IDLE_CONNECTIONS = 8
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d+)")
 
 
@@ -93,26 +93,26 @@
     def __init__(self, quiescent):
         super().__init__(quiescent)
         self.idle_since_ms = 0
-        self.idle_limit_ms = IDLE_MS
-        self.has_extra = False
+        self.idle_limit_ms = MAX_IDLE_MS
+        self.has_extra_bytes = False
         self.was_reset = False
         self.used_before = False
 
     def _finishResponse(self, rest):
         if rest:
-            self.has_extra = True
+            self.has_extra_bytes = True
         return super()._finishResponse(rest)
 
     def connectionLost(self, reason=protocol.connectionDone):
         self.was_reset = not reason.check(error.ConnectionDone)
         super().connectionLost(reason)
 
-    def usable(self, now, limit_ms):
-        """Whether another request may be sent after at most *limit_ms* idle."""
+    def is_usable(self, now, limit_ms):
+        """Whether the connection can be reused, having been idle up to *limit_ms*."""
         limit_ms = min(limit_ms, self.idle_limit_ms)
         return (
             self.state == "QUIESCENT"
-            and not self.has_extra
+            and not self.has_extra_bytes
             and now - self.idle_since_ms <= limit_ms
         )
 
@@ -137,10 +137,10 @@
         self.on_data(data)
 
     def connectionLost(self, reason=protocol.connectionDone):
-        whole = reason.check(client.ResponseDone) or (
+        is_complete = reason.check(client.ResponseDone) or (
             reason.check(_newclient.PotentialDataLoss) and not self.connection.was_reset
         )
-        if whole:
+        if is_complete:
             self.done.callback(None)
         else:
             self.done.errback(Broken(f"response is incomplete: {reason.value!r}"))
@@ -156,7 +156,7 @@
 
     reactor: object
     clock: clock.Clock
-    idle_by_life: dict = attrs.field(factory=dict)
+    idle_by_incarnation: dict = attrs.field(factory=dict)
     opened: int = 0
 
     @classmethod
@@ -164,12 +164,12 @@
         """Return an empty pool on *reactor*."""
         return cls(reactor, clock.Clock(reactor))
 
-    def _idle(self, name, limit_ms):
-        idle = self.idle_by_life.get(name, [])
+    def _take_idle(self, incarnation, limit_ms):
+        idle = self.idle_by_incarnation.get(incarnation, [])
         now = self.clock.now()
         while idle:
             connection = idle.pop()
-            if connection.usable(now, limit_ms):
+            if connection.is_usable(now, limit_ms):
                 return connection
             connection.close()
         return None
@@ -181,31 +181,31 @@
         *repeatable* tells whether the request may run more than once, which permits
         a connection that has been idle for longer.
         """
-        limit_ms = IDLE_MS * 4 if repeatable else FRESH_MS
-        connection = self._idle(pick.incarnation_key(member), limit_ms)
+        limit_ms = MAX_IDLE_MS * 4 if repeatable else UNREPEATABLE_MAX_IDLE_MS
+        connection = self._take_idle(pick.incarnation_key(member), limit_ms)
         if connection is not None:
             connection.used_before = True
             return connection
         return (yield self._open(member))
 
     @defer.inlineCallbacks
-    def reaches(self, member):
+    def can_connect(self, member):
         """Whether *member* accepts a new connection, which is put in the pool."""
         try:
             connection = yield self._open(member)
         except NotSent:
             return False
-        self._keep(pick.incarnation_key(member), connection)
+        self._put_idle(pick.incarnation_key(member), connection)
         return True
 
     @defer.inlineCallbacks
-    def is_closed(self, member):
+    def refuses_connections(self, member):
         """Whether the host of *member* refuses connections to the member's port."""
         try:
             connection = yield self._open(member)
         except NotSent as exc:
             return isinstance(exc.__cause__, error.ConnectionRefusedError)
-        self._keep(pick.incarnation_key(member), connection)
+        self._put_idle(pick.incarnation_key(member), connection)
         return False
 
     @defer.inlineCallbacks
@@ -219,7 +219,7 @@
         self.opened += 1
 
         def quiescent(connection):
-            self._keep(pick.incarnation_key(member), connection)
+            self._put_idle(pick.incarnation_key(member), connection)
 
         try:
             connection = yield endpoints.connectProtocol(
@@ -230,17 +230,17 @@
         connection.transport.setTcpNoDelay(True)
         return connection
 
-    def _keep(self, name, connection):
+    def _put_idle(self, incarnation, connection):
         connection.idle_since_ms = self.clock.now()
-        idle = self.idle_by_life.setdefault(name, [])
+        idle = self.idle_by_incarnation.setdefault(incarnation, [])
         idle.append(connection)
-        if len(idle) > MAX_IDLE:
+        if len(idle) > MAX_IDLE_CONNECTIONS:
             idle.pop(0).close()
 
     def forget(self, live):
         """Close the idle connections of incarnations that are not in *live*."""
-        for name in [n for n in self.idle_by_life if n not in live]:
-            for connection in self.idle_by_life.pop(name):
+        for incarnation in [n for n in self.idle_by_incarnation if n not in live]:
+            for connection in self.idle_by_incarnation.pop(incarnation):
                 connection.close()
 
 
--- a/dunlinpoint/forward/quarantine.py
+++ b/dunlinpoint/forward/quarantine.py
@@ -7,7 +7,7 @@
 connection reset, the endpoint still listens and is not announced anew, so none of
 these count.
 
-A request under which two endpoints have crashed is a suspect: at most one instance of
+A request under which two endpoints have crashed is a suspect: at most one execution of
 it runs at a time at this entry, without retries. A request under which three have
 crashed is convicted and refused at once. It has not run, so the status is 503; a 4xx
 would blame the caller for a fault of the endpoints. ``Retry-After`` is the time until
@@ -18,7 +18,7 @@
 from twisted.internet import defer
 
 from dunlinpoint import logs
-from dunlinpoint.forward import answers
+from dunlinpoint.forward import responses
 from dunlinpoint.routing import pick
 from dunlinpoint.suspects import digest, registry, sharing
 
@@ -26,15 +26,15 @@
 
 # Delay between the end of a connection and the check of whether its endpoint still
 # listens. A crashed process stops listening at once and takes seconds to restart.
-LOOK_MS = 50
+CRASH_CHECK_DELAY_MS = 50
 # How long after the end of a connection a new incarnation still confirms a crash.
-PENDING_MS = 10_000
-# Retry-After of a suspect while another instance of it is running.
-ALONE_RETRY_MS = 1000
+RESTART_WINDOW_MS = 10_000
+# Retry-After of a suspect while another execution of it is in progress.
+SUSPECT_RETRY_MS = 1000
 
 
 @attrs.define
-class Broken:
+class PendingCheck:
     """An endpoint whose connection ended, and the requests that were running there."""
 
     member: object
@@ -46,27 +46,27 @@
 class Quarantine:
     """Known suspects, and endpoints that may have crashed.
 
-    ``alone`` holds the digests of the suspects that are running.
+    ``running_suspects`` holds the digests of the suspects that are running.
     """
 
     sharing: sharing.Sharing
     known: registry.Registry = attrs.field(factory=registry.Registry)
-    broken_by_life: dict = attrs.field(factory=dict)
-    alone: set = attrs.field(factory=set)
+    pending_by_incarnation: dict = attrs.field(factory=dict)
+    running_suspects: set = attrs.field(factory=set)
 
-    def hear(self, forward, reports):
+    def receive_reports(self, forwarder, reports):
         """Apply ``CrashReport``s received from a control."""
-        now = forward.clock.now()
+        now = forwarder.clock.now()
         for report in reports:
-            self._take(forward, report, now)
+            self._apply_report(forwarder, report, now)
 
-    def _take(self, forward, report, now):
+    def _apply_report(self, forwarder, report, now):
         before = self.known.suspect_status(report.digest, now)
         if not self.known.apply_report(report, now):
             return False
         after = self.known.suspect_status(report.digest, now)
         if after is not before:
-            forward.counters.incr(f"suspects.{after.value}")
+            forwarder.counters.incr(f"suspects.{after.value}")
             log.warning(
                 after.value if report.life else "lifted",
                 digest=report.digest.hex(),
@@ -76,12 +76,14 @@
             )
         return True
 
-    def note(self, forward, waiting):
+    def record_local(self, forwarder, reports):
         """Apply reports of this entry, and share those that are new."""
-        now = forward.clock.now()
-        news = [w for w in waiting if self._take(forward, w.to_message(now), now)]
-        if news:
-            self.sharing.publish(news)
+        now = forwarder.clock.now()
+        new_reports = [
+            w for w in reports if self._apply_report(forwarder, w.to_message(now), now)
+        ]
+        if new_reports:
+            self.sharing.publish(new_reports)
 
 
 def digest_of(call):
@@ -96,38 +98,38 @@
     return call.digest
 
 
-def suspect_status(forward, call):
+def suspect_status(forwarder, call):
     """Return the ``SuspectStatus`` of *call*.
 
     Digests are computed only while there are suspects.
     """
-    found = forward.quarantine.known
+    found = forwarder.quarantine.known
     if not len(found):
         return registry.SuspectStatus.CLEAR
-    return found.suspect_status(digest_of(call), forward.clock.now())
+    return found.suspect_status(digest_of(call), forwarder.clock.now())
 
 
-def enter(forward, call):
+def enter(forwarder, call):
     """Whether *call* may run; if not, its final response has been sent."""
-    found = suspect_status(forward, call)
+    found = suspect_status(forwarder, call)
     if found is registry.SuspectStatus.CLEAR:
         return True
-    alone = forward.quarantine.alone
+    running = forwarder.quarantine.running_suspects
     if found is registry.SuspectStatus.CONVICTED:
-        refuse(forward, call, "convicted", registry.EXPIRY_MS)
-    elif call.digest in alone:
-        refuse(forward, call, "suspect_at_work", ALONE_RETRY_MS)
+        refuse(forwarder, call, "convicted", registry.EXPIRY_MS)
+    elif call.digest in running:
+        refuse(forwarder, call, "suspect_at_work", SUSPECT_RETRY_MS)
     else:
-        alone.add(call.digest)
-        call.is_alone = True
+        running.add(call.digest)
+        call.is_isolated = True
         return True
     return False
 
 
-def refuse(forward, call, reason, retry_ms):
+def refuse(forwarder, call, reason, retry_ms):
     """Refuse *call* with 503; it has not run."""
-    answers.answer(
-        forward,
+    responses.respond(
+        forwarder,
         call.request,
         503,
         reason,
@@ -137,35 +139,40 @@
     )
 
 
-def leave(forward, call):
+def leave(forwarder, call):
     """Release the isolation of *call*, which has ended."""
-    if call.is_alone:
-        forward.quarantine.alone.discard(call.digest)
-        call.is_alone = False
+    if call.is_isolated:
+        forwarder.quarantine.running_suspects.discard(call.digest)
+        call.is_isolated = False
 
 
-def served(forward, call):
+def request_served(forwarder, call):
     """Clear *call*, which an endpoint has served without crashing."""
-    found = forward.quarantine
-    if not len(found.known) and not found.broken_by_life:
+    found = forwarder.quarantine
+    if not len(found.known) and not found.pending_by_incarnation:
         return
-    name = digest_of(call)
-    for broken in found.broken_by_life.values():
-        broken.digests.discard(name)
-    suspect = found.known.suspect_by_digest.get(name)
+    request_digest = digest_of(call)
+    for pending in found.pending_by_incarnation.values():
+        pending.digests.discard(request_digest)
+    suspect = found.known.suspect_by_digest.get(request_digest)
     if suspect is not None and suspect.ended_ms_by_incarnation:
-        found.note(forward, [sharing.PendingReport(name, "", forward.clock.now())])
+        found.record_local(
+            forwarder,
+            [sharing.PendingReport(request_digest, "", forwarder.clock.now())],
+        )
 
 
-def broke(forward, call, member):
+def connection_ended(forwarder, call, member):
     """Start a check: the connection to *member* ended while *call* was running."""
-    found = forward.quarantine
-    life = pick.incarnation_key(member)
-    broken = found.broken_by_life.get(life)
-    if broken is None:
-        broken = found.broken_by_life[life] = Broken(member, forward.clock.now())
-        look(forward, life, broken).addErrback(_failed)
-    broken.digests.add(digest_of(call))
+    found = forwarder.quarantine
+    incarnation = pick.incarnation_key(member)
+    pending = found.pending_by_incarnation.get(incarnation)
+    if pending is None:
+        pending = found.pending_by_incarnation[incarnation] = PendingCheck(
+            member, forwarder.clock.now()
+        )
+        check_endpoint(forwarder, incarnation, pending).addErrback(_failed)
+    pending.digests.add(digest_of(call))
 
 
 def _failed(failure):
@@ -173,28 +180,28 @@
 
 
 @defer.inlineCallbacks
-def look(forward, life, broken):
-    """Check whether the endpoint of *broken* still listens, and discard it later."""
-    yield forward.clock.sleep(LOOK_MS)
-    if (yield forward.pool.is_closed(broken.member)):
-        ended(forward, life)
+def check_endpoint(forwarder, incarnation, pending):
+    """Check whether the endpoint of *pending* still listens, and discard it later."""
+    yield forwarder.clock.sleep(CRASH_CHECK_DELAY_MS)
+    if (yield forwarder.pool.refuses_connections(pending.member)):
+        endpoint_crashed(forwarder, incarnation)
         return
-    yield forward.clock.sleep(PENDING_MS)
-    forward.quarantine.broken_by_life.pop(life, None)
+    yield forwarder.clock.sleep(RESTART_WINDOW_MS)
+    forwarder.quarantine.pending_by_incarnation.pop(incarnation, None)
 
 
-def look_for_new_starts(forward):
+def detect_restarts(forwarder):
     """Find crashed endpoints by their new incarnations, after a change of members."""
-    found = forward.quarantine.broken_by_life
+    found = forwarder.quarantine.pending_by_incarnation
     if not found:
         return
-    members = [m for m in forward.view.endpoints() if not m.gone]
-    for life, broken in list(found.items()):
-        if any(is_new_start(member, broken.member) for member in members):
-            ended(forward, life)
+    members = [m for m in forwarder.view.endpoints() if not m.gone]
+    for incarnation, pending in list(found.items()):
+        if any(is_restart_of(member, pending.member) for member in members):
+            endpoint_crashed(forwarder, incarnation)
 
 
-def is_new_start(member, earlier):
+def is_restart_of(member, earlier):
     """Whether *member* proves that the incarnation *earlier* has ended."""
     if member.service_name != earlier.service_name:
         return False
@@ -203,13 +210,16 @@
     return (member.host, member.port) == (earlier.host, earlier.port)
 
 
-def ended(forward, life):
-    """Attribute the crash of endpoint *life* to all requests that ran there."""
-    broken = forward.quarantine.broken_by_life.pop(life, None)
-    if broken is None:
+def endpoint_crashed(forwarder, incarnation):
+    """Attribute the crash of endpoint *incarnation* to all requests that ran there."""
+    pending = forwarder.quarantine.pending_by_incarnation.pop(incarnation, None)
+    if pending is None:
         return
-    log.info("endpoint_ended", endpoint_id=life, requests=len(broken.digests))
-    forward.quarantine.note(
-        forward,
-        [sharing.PendingReport(name, life, broken.at_ms) for name in broken.digests],
+    log.info("endpoint_ended", endpoint_id=incarnation, requests=len(pending.digests))
+    forwarder.quarantine.record_local(
+        forwarder,
+        [
+            sharing.PendingReport(request_digest, incarnation, pending.at_ms)
+            for request_digest in pending.digests
+        ],
     )
--- a/dunlinpoint/forward/routes.py
+++ b/dunlinpoint/forward/routes.py
@@ -10,28 +10,30 @@
 
 from dunlinpoint.config import document as config
 
-BEARER = "Bearer "
+BEARER_PREFIX = "Bearer "
 
 
 @attrs.define
 class Table:
     """Routes by host and prefix, and workspaces by key.
 
-    ``keyed`` tells whether any workspace has a key; ``version`` is the document's.
+    ``has_keys`` tells whether any workspace has a key; ``version`` is the document's.
     """
 
-    route_by_place: dict = attrs.field(factory=dict)
+    route_by_host_and_prefix: dict = attrs.field(factory=dict)
     workspace_by_key: dict = attrs.field(factory=dict)
-    keyed: bool = False
+    has_keys: bool = False
     version: int = 0
 
     @classmethod
     def from_document(cls, doc, version):
         """Return the table of *doc*, whose document version is *version*."""
         return cls(
-            route_by_place={(r.host.lower(), r.prefix): r for r in doc.routes},
+            route_by_host_and_prefix={
+                (r.host.lower(), r.prefix): r for r in doc.routes
+            },
             workspace_by_key={key: w for w in doc.workspaces for key in w.keys},
-            keyed=any(w.keys for w in doc.workspaces),
+            has_keys=any(w.keys for w in doc.workspaces),
             version=version,
         )
 
@@ -44,7 +46,7 @@
         host = host.rsplit(":", 1)[0].lower()
         end = path.rfind("/")
         while end >= 0:
-            route = self.route_by_place.get((host, path[: end + 1]))
+            route = self.route_by_host_and_prefix.get((host, path[: end + 1]))
             if route is not None:
                 return route
             end = path.rfind("/", 0, end)
@@ -55,12 +57,12 @@
 
         Returns ``None`` for an unknown key or another authentication scheme.
         """
-        if not authorization or not authorization.startswith(BEARER):
+        if not authorization or not authorization.startswith(BEARER_PREFIX):
             return None
-        return self.workspace_by_key.get(authorization[len(BEARER) :].strip())
+        return self.workspace_by_key.get(authorization[len(BEARER_PREFIX) :].strip())
 
 
-def service_of(route, rng=random):
+def choose_service(route, rng=random):
     """Return the name of a service of *route*, chosen randomly by weight."""
     if len(route.split) == 1:
         return route.split[0].service
@@ -68,7 +70,7 @@
     return rng.choices(route.split, weights)[0].service
 
 
-def repeatable(route):
+def is_repeatable(route):
     """Whether a request on *route* may run more than once."""
     return route.kind == config.IDEMPOTENT or (
         route.kind == config.STREAMING and route.resumable
--- a/dunlinpoint/forward/site.py
+++ b/dunlinpoint/forward/site.py
@@ -17,31 +17,31 @@
 IDLE_MARGIN_MS = 5000
 
 
-class Forwarded(resource.Resource):
+class ForwardResource(resource.Resource):
     """Passes requests of any path and method to :func:`admission.serve`."""
 
     isLeaf = True
 
-    def __init__(self, forward):
+    def __init__(self, forwarder):
         super().__init__()
-        self.forward = forward
+        self.forwarder = forwarder
 
     def render(self, request):
         def failed(failure):
             log.error("request_failed", error=failure.getTraceback())
-            self.forward.counters.incr("request_failed")
+            self.forwarder.counters.incr("request_failed")
             if not request._disconnected and not request.finished:
                 request.channel.loseConnection()
 
-        admission.serve(self.forward, request).addErrback(failed)
+        admission.serve(self.forwarder, request).addErrback(failed)
         return server.NOT_DONE_YET
 
 
-def listen(reactor, forward, host, port):
+def listen(reactor, forwarder, host, port):
     """Serve callers on *host*:*port*.
 
     Returns the ``Site`` and its listening port.
     """
-    idle_ms = forward.limits.idle_ms + IDLE_MARGIN_MS
-    site = http_site.Site(Forwarded(forward), timeout=clock.seconds(idle_ms))
+    idle_ms = forwarder.limits.idle_ms + IDLE_MARGIN_MS
+    site = http_site.Site(ForwardResource(forwarder), timeout=clock.seconds(idle_ms))
     return site, reactor.listenTCP(port, site, interface=host, backlog=512)
--- a/dunlinpoint/forward/state.py
+++ b/dunlinpoint/forward/state.py
@@ -12,7 +12,7 @@
 from dunlinpoint.entry import limits as workspace_limits
 from dunlinpoint.experts import messages
 from dunlinpoint.follow import view
-from dunlinpoint.forward import events, names, pool, quarantine, routes, waiting
+from dunlinpoint.forward import condition, events, names, pool, quarantine, routes
 from dunlinpoint.routing import (
     budget,
     endpoint_order,
@@ -40,7 +40,7 @@
     counters: metrics.Counters
     pool: pool.Pool
     picker: pick.Picker
-    waiting: waiting.Waiting
+    changes: condition.Condition
     quarantine: quarantine.Quarantine
     names: names.HeaderNames = names.DEFAULT
     read_signal: object = endpoint_signals.no_signal
@@ -48,7 +48,9 @@
     table: routes.Table = attrs.field(factory=routes.Table)
     limits: config.Limits = attrs.field(factory=config.Limits)
     rng: random.Random = attrs.field(factory=random.Random)
-    work: workspace_limits.Work = attrs.field(factory=workspace_limits.Work)
+    workspace_limiter: workspace_limits.InFlightLimiter = attrs.field(
+        factory=workspace_limits.InFlightLimiter
+    )
     key_lease_ms: int = 0
     in_flight: int = 0
     lifecycle: lifecycle.Lifecycle = attrs.field(factory=lifecycle.begin)
@@ -57,13 +59,13 @@
     members_by_service: dict = attrs.field(factory=dict)
     group_members_by_service: dict = attrs.field(factory=dict)
     uneven_groups: set = attrs.field(factory=set)
-    overloaded: set = attrs.field(factory=set)
-    arranged: tuple | None = None
+    overloaded_groups: set = attrs.field(factory=set)
+    ordered_for: tuple | None = None
     started_ms: int = 0
 
     @classmethod
     def from_config(
-        cls, reactor, entry_view, counters, dialect, read_signal, key_lease_ms=0
+        cls, reactor, entry_view, counters, header_names, read_signal, key_lease_ms=0
     ):
         """Create the state of the entry with the view *entry_view*.
 
@@ -72,35 +74,37 @@
         no majority of controls has confirmed the document for that time.
         """
         ms_clock = clock.Clock(reactor)
-        forward = cls(
+        forwarder = cls(
             view=entry_view,
             clock=ms_clock,
-            waiting=waiting.Waiting(ms_clock),
+            changes=condition.Condition(ms_clock),
             started_ms=ms_clock.now(),
             counters=counters,
             pool=pool.Pool.from_config(reactor),
             picker=pick.Picker(entry_view.zone),
             quarantine=quarantine.Quarantine(sharing.Sharing(entry_view, ms_clock)),
-            names=dialect,
+            names=header_names,
             read_signal=read_signal,
             key_lease_ms=key_lease_ms,
         )
-        entry_view.on_document.append(forward.take)
-        entry_view.on_change.append(forward.news)
+        entry_view.on_document.append(forwarder.apply_document)
+        entry_view.on_change.append(forwarder.handle_change)
         entry_view.wants_reports = True
-        entry_view.on_reports.append(forward.hear_reports)
-        return forward
+        entry_view.on_reports.append(forwarder.receive_reports)
+        return forwarder
 
-    def hear_reports(self, reports):
+    def receive_reports(self, reports):
         """Handle crash reports of other entries, received from a control."""
-        self.quarantine.hear(self, reports)
+        self.quarantine.receive_reports(self, reports)
 
-    def take(self, document):
+    def apply_document(self, document):
         """Apply a newer document."""
         doc = config.parse(packed.unpack(document.body))
         self.table = routes.Table.from_document(doc, document.version)
         self.limits = doc.limits
-        self.work.limit_by_name = {w.name: w.max_in_flight for w in doc.workspaces}
+        self.workspace_limiter.limit_by_name = {
+            w.name: w.max_in_flight for w in doc.workspaces
+        }
 
     def members(self, service):
         """Return the endpoints of *service* that accept work, in this entry's order.
@@ -108,16 +112,16 @@
         The order is computed only when the members have changed: computing it for
         each request cost more than the request itself with some hundred endpoints.
         """
-        self.arrange()
+        self.update_members()
         return self.members_by_service.get(service, [])
 
-    def news(self):
+    def handle_change(self):
         """Handle a change notification of the view: wake all waiting requests."""
-        quarantine.look_for_new_starts(self)
-        if self.waiting.waiters:
-            self.waiting.news()
+        quarantine.detect_restarts(self)
+        if self.changes.waiters:
+            self.changes.notify_all()
 
-    def knows(self, service=None):
+    def is_discovered(self, service=None):
         """Whether the document and, if given, endpoints of *service* are known."""
         if not self.table.version or self.view.confirmed_ms is None:
             return False
@@ -127,31 +131,33 @@
         """Whether the entry may not know all members yet because it just started."""
         return self.clock.now() - self.started_ms < STARTING_MS
 
-    def arrange(self):
+    def update_members(self):
         """Update the lists of members if the members have changed."""
         live = self.view.live("service")
         view = self.view
         self.picker.signals.update(view.entry_index, view.entry_count, self.clock.now())
         state = view.generation, view.zone_index, view.zone_entries
-        if self.arranged != state:
-            self.arranged = state
-            self._arrange(live)
+        if self.ordered_for != state:
+            self.ordered_for = state
+            self._order_members(live)
 
-    def _arrange(self, live):
+    def _order_members(self, live):
         by_service = {}
         for member in sorted(live, key=lambda m: m.endpoint_id):
             by_service.setdefault(member.service_name, []).append(member)
-        place, places = self.view.zone_index, self.view.zone_entries
+        zone_index, zone_entries = self.view.zone_index, self.view.zone_entries
         self.members_by_service = {
-            name: endpoint_order.preferred_order(members, self.view.zone, place, places)
+            name: endpoint_order.preferred_order(
+                members, self.view.zone, zone_index, zone_entries
+            )
             for name, members in by_service.items()
         }
         # Otherwise records and idle connections of all former endpoints would stay in
         # memory until a restart.
-        lives = {pick.incarnation_key(m) for m in live}
-        self.picker.forget(lives)
-        self.picker.signals.forget(lives, self.clock.now())
-        self.pool.forget(lives)
+        incarnations = {pick.incarnation_key(m) for m in live}
+        self.picker.forget(incarnations)
+        self.picker.signals.forget(incarnations, self.clock.now())
+        self.pool.forget(incarnations)
         addresses = {outage.address_of(m) for m in live}
         ranks = self.view.live(messages.KIND)
         for group in self.outages.update(ranks, addresses, self.clock.now()):
@@ -160,9 +166,9 @@
                 address = outage.address_of(member)
                 if self.outages.group_by_address.get(address) == group:
                     self.picker.succeeded(pick.incarnation_key(member))
-        self._arrange_groups()
+        self._group_members()
 
-    def _arrange_groups(self):
+    def _group_members(self):
         """Divide the members of each service by the groups that agents report."""
         self.group_members_by_service = {}
         self.uneven_groups = set()
@@ -170,21 +176,21 @@
             by_group = self.group_members_by_service[service] = {}
             for member in sorted(members, key=lambda m: m.endpoint_id):
                 by_group.setdefault(self.group_of(member), []).append(member)
-            zone, place, places = (
+            zone, zone_index, zone_entries = (
                 self.view.zone,
                 self.view.zone_index,
                 self.view.zone_entries,
             )
             for group, inside in by_group.items():
                 by_group[group] = endpoint_order.preferred_order_in_group(
-                    inside, zone, place, places
+                    inside, zone, zone_index, zone_entries
                 )
                 if not endpoint_order.is_evenly_distributed(inside, zone):
                     self.uneven_groups.add((service, group))
         for service, found in self.groups_by_service.items():
-            self._tell_sizes(service, found)
+            self._update_group_sizes(service, found)
 
-    def _tell_sizes(self, service, found):
+    def _update_group_sizes(self, service, found):
         """Update *found* (``Groups``) with each group's size and size in this zone."""
         by_group = self.group_members_by_service.get(service, {})
         sizes = {group: len(members) for group, members in by_group.items()}
@@ -207,16 +213,16 @@
         if found is None:
             found = groups.Groups(call.route.pause_ms)
             self.groups_by_service[call.service] = found
-            self._tell_sizes(call.service, found)
+            self._update_group_sizes(call.service, found)
         return found
 
     def group_of(self, member):
         """Return the rank group of *member*, or ``""`` if none is known."""
         return self.outages.group_by_address.get(outage.address_of(member), "")
 
-    def open_groups(self, service, now):
+    def available_groups(self, service, now):
         """Return the members of *service* by rank group, without stalled groups."""
-        self.arrange()
+        self.update_members()
         by_group = self.group_members_by_service.get(service, {})
         return {
             group: members
@@ -228,13 +234,29 @@
         """Whether keys may have been revoked without this entry knowing it."""
         if not self.key_lease_ms:
             return False
-        vouched = self.view.confirmed_ms
-        return vouched is None or self.clock.now() - vouched > self.key_lease_ms
+        confirmed = self.view.confirmed_ms
+        return confirmed is None or self.clock.now() - confirmed > self.key_lease_ms
 
 
 @attrs.define(eq=False)
 class Call:
-    """One request at this entry."""
+    """One request at this entry.
+
+    - ``deadline_ms``, ``arrived_ms``: times of the local clock.
+    - ``tried``: keys of the endpoint incarnations that were tried.
+    - ``attempts``: number of attempts at which the request was sent.
+    - ``started``: whether the response to the caller has begun.
+    - ``group``: the rank group at which the stream is counted.
+    - ``admission_draw``: random number (0 to 1) compared with the admitted share.
+    - ``is_isolated``: whether it runs as the only execution of a suspect.
+    - ``last_failure``: head and body of the last 5xx response of an endpoint.
+    - ``last_event_ms``: time of the last event, or of the arrival.
+    - ``first_ms``: time from the arrival to the first event.
+    - ``in_flight_at_endpoint``: requests of this entry at the endpoint when it was
+      chosen.
+    - ``waited``: whether it has waited for a stalled group.
+    - ``turn``: its turn in the queue of a group that opened recently.
+    """
 
     request: object
     route: config.Route
@@ -242,24 +264,24 @@
     workspace: config.Workspace | None
     deadline_ms: int
     request_id: bytes | None
-    events: events.Events
+    events: events.EventStream
     streaming: bool
     tried: set = attrs.field(factory=set)
-    tries: int = 0
+    attempts: int = 0
     may_have_run: bool = False
     started: bool = False
-    left: bool = False
+    disconnected: bool = False
     expired: bool = False
     connection: pool.Connection | None = None
     group: str | None = None
-    draw: float | None = None
+    admission_draw: float | None = None
     digest: bytes | None = None
-    is_alone: bool = False
+    is_isolated: bool = False
     last_failure: tuple | None = None
     arrived_ms: int = 0
-    heard_ms: int = 0
+    last_event_ms: int = 0
     first_ms: int | None = None
-    at_endpoint: int = 0
+    in_flight_at_endpoint: int = 0
     waited: bool = False
     turn: tuple | None = None
 
@@ -268,9 +290,9 @@
         if self.connection is not None:
             self.connection.close()
 
-    def caller_left(self, _reason=None):
+    def on_disconnect(self, _reason=None):
         """Abort the call: the caller closed its connection."""
-        self.left = True
+        self.disconnected = True
         self.stop()
 
     def expire(self):
@@ -279,5 +301,5 @@
         self.stop()
 
     @property
-    def over(self):
-        return self.left or self.expired
+    def is_over(self):
+        return self.disconnected or self.expired
--- a/dunlinpoint/forward/tests/test_events.py
+++ b/dunlinpoint/forward/tests/test_events.py
@@ -20,8 +20,8 @@
 
 @settings(derandomize=True, database=None)
 @given(NUMBERS, st.lists(st.integers(0, 4000), max_size=9))
-def test_pieces_of_any_size_come_out_as_whole_events(numbers, cuts):
-    stream = events.Events()
+def test_chunks_of_any_size_yield_complete_events(numbers, cuts):
+    stream = events.EventStream()
     data = b"".join(event(n) for n in numbers)
     out = [stream.feed(piece) for piece in pieces(data, cuts)]
     assert b"".join(out) == data
@@ -31,12 +31,12 @@
 
 @settings(derandomize=True, database=None)
 @given(NUMBERS, st.integers(0, 4000), st.integers(0, 12))
-def test_a_run_that_goes_on_elsewhere_repeats_and_joins_nothing(numbers, cut, back):
+def test_a_resumed_stream_has_no_duplicate_or_joined_events(numbers, cut, back):
     # Guards against half an event joined to the bytes of another endpoint, and against
     # duplicate events. A stream is interrupted at any byte; the resumed stream begins
     # some events before the last one that was passed on.
     data = b"".join(event(n) for n in numbers)
-    stream = events.Events()
+    stream = events.EventStream()
     out = stream.feed(data[: cut % (len(data) + 1)])
     passed = stream.count
     stream.restart()
@@ -46,12 +46,12 @@
 
 @settings(derandomize=True, database=None)
 @given(st.binary(max_size=300))
-def test_no_bytes_are_too_strange(data):
-    stream = events.Events()
+def test_arbitrary_bytes_are_accepted(data):
+    stream = events.EventStream()
     out = stream.feed(data)
     assert stream.last_id is None or out
 
 
-def test_a_stream_that_goes_on_after_an_id_starts_behind_it():
-    stream = events.Events(last_id=2)
+def test_a_stream_resumed_after_an_id_starts_with_the_next_event():
+    stream = events.EventStream(last_id=2)
     assert stream.feed(event(1) + event(2) + event(3)) == event(3)
--- a/dunlinpoint/forward/tests/test_exchange.py
+++ b/dunlinpoint/forward/tests/test_exchange.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    "route, workspace, told",
+    "route, workspace, expected",
     [
         (3, None, 3),
         (3, config.Workspace("w"), 3),
@@ -39,12 +39,14 @@
         (3, config.Workspace("w", priority=-2), 0),
     ],
 )
-def test_the_workspace_decides_how_urgent_a_request_is(route, workspace, told):
+def test_the_workspace_priority_overrides_the_route_priority(
+    route, workspace, expected
+):
     # Guards against a workspace priority in the document that is not sent to endpoints.
-    assert exchange.priority_of(Call(route, workspace), now=0) == told
+    assert exchange.priority_of(Call(route, workspace), now=0) == expected
 
 
-def test_who_is_late_already_is_less_urgent_than_any_who_is_not():
+def test_a_request_past_its_target_has_lower_priority_than_all_others():
     # Guards against callers that miss their latency target because of callers that
     # waited for the end of an outage and have already missed theirs.
     late = [exchange.priority_of(Call(p), now=AIM_MS + 1) for p in range(5)]
--- a/dunlinpoint/forward/tests/test_pool.py
+++ b/dunlinpoint/forward/tests/test_pool.py
@@ -10,25 +10,27 @@
     return found
 
 
-def test_a_connection_is_used_again_while_it_is_fresh():
+def test_a_connection_is_reused_up_to_its_maximum_idle_time():
     found = connection()
-    assert found.usable(pool.IDLE_MS, pool.IDLE_MS)
-    assert not found.usable(pool.IDLE_MS + 1, pool.IDLE_MS * 4)
-    assert not found.usable(pool.FRESH_MS + 1, pool.FRESH_MS)
+    assert found.is_usable(pool.MAX_IDLE_MS, pool.MAX_IDLE_MS)
+    assert not found.is_usable(pool.MAX_IDLE_MS + 1, pool.MAX_IDLE_MS * 4)
+    assert not found.is_usable(
+        pool.UNREPEATABLE_MAX_IDLE_MS + 1, pool.UNREPEATABLE_MAX_IDLE_MS
+    )
 
 
-def test_bytes_after_an_answer_end_a_connections_use():
+def test_a_connection_with_extra_bytes_is_not_reused():
     # Guards against a caller that receives bytes of no request: an endpoint sends extra
     # bytes after a complete response, and the connection is used again.
     found = connection()
-    found.has_extra = True
-    assert not found.usable(0, pool.IDLE_MS)
+    found.has_extra_bytes = True
+    assert not found.is_usable(0, pool.MAX_IDLE_MS)
 
 
-def test_a_promise_to_keep_alive_bounds_the_use():
+def test_the_keep_alive_timeout_limits_reuse():
     found = connection()
     found.idle_limit_ms = 300
-    assert not found.usable(301, pool.IDLE_MS)
+    assert not found.is_usable(301, pool.MAX_IDLE_MS)
 
 
 def test_retries_are_earned_spent_and_capped():
--- a/dunlinpoint/forward/tests/test_quarantine.py
+++ b/dunlinpoint/forward/tests/test_quarantine.py
@@ -13,9 +13,9 @@
 from dunlinpoint.wire.gen.dunlin import ttypes
 
 
-def member(life, incarnation=0, **changed):
-    told = {"host": "h", "port": 1, "service_name": "s"} | changed
-    return ttypes.Member(endpoint_id=life, incarnation=incarnation, **told)
+def member(endpoint_id, incarnation=0, **changed):
+    fields = {"host": "h", "port": 1, "service_name": "s"} | changed
+    return ttypes.Member(endpoint_id=endpoint_id, incarnation=incarnation, **fields)
 
 
 @attrs.define
@@ -31,7 +31,7 @@
     service: str = "s"
     workspace: object = None
     digest: bytes | None = None
-    is_alone: bool = False
+    is_isolated: bool = False
 
 
 @attrs.define
@@ -40,7 +40,7 @@
 
     closed: set = attrs.field(factory=set)
 
-    def is_closed(self, found):
+    def refuses_connections(self, found):
         return defer.succeed(found.endpoint_id in self.closed)
 
 
@@ -54,10 +54,10 @@
 
 @attrs.define
 class Sharing:
-    told: list = attrs.field(factory=list)
+    published: list = attrs.field(factory=list)
 
-    def publish(self, waiting):
-        self.told += waiting
+    def publish(self, reports):
+        self.published += reports
 
 
 @attrs.define
@@ -74,61 +74,65 @@
 def entry(monkeypatch):
     """A clock, an entry, and the list of its refusals."""
     reactor = task.Clock()
-    forward = Forwarder(clock.Clock(reactor), quarantine.Quarantine(Sharing()))
+    forwarder = Forwarder(clock.Clock(reactor), quarantine.Quarantine(Sharing()))
     refused = []
     monkeypatch.setattr(
-        quarantine.answers,
-        "answer",
-        lambda _forward, _request, status, reason, retry_ms, **_why: refused.append(
-            (status, reason, retry_ms)
+        quarantine.responses,
+        "respond",
+        lambda _forwarder, _request, status, reason, retry_ms, **_log_fields: (
+            refused.append((status, reason, retry_ms))
         ),
     )
-    return reactor, forward, refused
+    return reactor, forwarder, refused
 
 
-def end_endpoints(reactor, forward, lives):
+def crash_endpoints(reactor, forwarder, endpoint_ids):
     """Crash one endpoint after the other under the same request."""
-    for life in lives:
-        forward.pool.closed.add(life)
-        quarantine.broke(forward, Call(), member(life))
+    for endpoint_id in endpoint_ids:
+        forwarder.pool.closed.add(endpoint_id)
+        quarantine.connection_ended(forwarder, Call(), member(endpoint_id))
         reactor.advance(1)
 
 
-def test_the_third_endpoint_is_the_last_and_all_are_told(entry):
+def test_a_request_is_convicted_after_three_crashes_and_reported(entry):
     # Guards against a group that stalls each time one caller retries: the request
     # crashes an endpoint at each attempt, and no record of it is kept.
-    reactor, forward, refused = entry
-    end_endpoints(reactor, forward, "ab")
-    assert quarantine.enter(forward, Call())
-    end_endpoints(reactor, forward, "c")
-    assert not quarantine.enter(forward, Call())
+    reactor, forwarder, refused = entry
+    crash_endpoints(reactor, forwarder, "ab")
+    assert quarantine.enter(forwarder, Call())
+    crash_endpoints(reactor, forwarder, "c")
+    assert not quarantine.enter(forwarder, Call())
     assert refused == [(503, "convicted", registry.EXPIRY_MS)]
-    assert [w.incarnation for w in forward.quarantine.sharing.told] == ["a", "b", "c"]
+    assert [w.incarnation for w in forwarder.quarantine.sharing.published] == [
+        "a",
+        "b",
+        "c",
+    ]
 
 
-def test_an_endpoint_that_listens_has_not_ended(entry):
+def test_an_endpoint_that_listens_has_not_crashed(entry):
     # Guards against requests refused because connections were reset, responses were
     # interrupted, or the end of a network partition reset connections.
-    reactor, forward, _ = entry
-    for life in "abc":
-        quarantine.broke(forward, Call(), member(life))
-        reactor.pump([1, quarantine.PENDING_MS / 1000])
-    assert forward.quarantine.sharing.told == []
-    assert forward.quarantine.broken_by_life == {}
+    reactor, forwarder, _ = entry
+    for endpoint_id in "abc":
+        quarantine.connection_ended(forwarder, Call(), member(endpoint_id))
+        reactor.pump([1, quarantine.RESTART_WINDOW_MS / 1000])
+    assert forwarder.quarantine.sharing.published == []
+    assert forwarder.quarantine.pending_by_incarnation == {}
 
 
 @pytest.mark.parametrize(
     "now_there",
     [member("a", incarnation=7), member("b"), member("b", incarnation=2)],
 )
-def test_a_new_start_at_its_place_shows_that_an_endpoint_has_ended(entry, now_there):
+def test_a_new_incarnation_confirms_a_crash(entry, now_there):
     # The endpoint has restarted and listens again before the check.
-    reactor, forward, _ = entry
-    quarantine.broke(forward, Call(), member("a"))
+    reactor, forwarder, _ = entry
+    quarantine.connection_ended(forwarder, Call(), member("a"))
     reactor.advance(0.5)
-    forward.view.members = [now_there]
-    quarantine.look_for_new_starts(forward)
-    assert [w.incarnation for w in forward.quarantine.sharing.told] == ["a"]
+    forwarder.view.members = [now_there]
+    quarantine.detect_restarts(forwarder)
+    assert [w.incarnation for w in forwarder.quarantine.sharing.published] == ["a"]
 
 
 @pytest.mark.parametrize(
@@ -140,59 +144,62 @@
         member("b", gone=True),
     ],
 )
-def test_others_show_nothing(entry, now_there):
-    reactor, forward, _ = entry
-    quarantine.broke(forward, Call(), member("a"))
+def test_unrelated_members_confirm_no_crash(entry, now_there):
+    reactor, forwarder, _ = entry
+    quarantine.connection_ended(forwarder, Call(), member("a"))
     reactor.advance(0.5)
-    forward.view.members = [now_there]
-    quarantine.look_for_new_starts(forward)
-    assert forward.quarantine.sharing.told == []
+    forwarder.view.members = [now_there]
+    quarantine.detect_restarts(forwarder)
+    assert forwarder.quarantine.sharing.published == []
 
 
 def test_a_suspect_runs_alone(entry):
-    reactor, forward, refused = entry
-    end_endpoints(reactor, forward, "ab")
+    reactor, forwarder, refused = entry
+    crash_endpoints(reactor, forwarder, "ab")
     first, second = Call(), Call()
-    assert quarantine.enter(forward, first)
-    assert not quarantine.enter(forward, second)
-    assert refused == [(503, "suspect_at_work", quarantine.ALONE_RETRY_MS)]
-    quarantine.leave(forward, first)
-    assert quarantine.enter(forward, Call())
+    assert quarantine.enter(forwarder, first)
+    assert not quarantine.enter(forwarder, second)
+    assert refused == [(503, "suspect_at_work", quarantine.SUSPECT_RETRY_MS)]
+    quarantine.leave(forwarder, first)
+    assert quarantine.enter(forwarder, Call())
 
 
 def test_a_suspect_that_is_served_is_cleared_everywhere(entry):
-    reactor, forward, _ = entry
-    end_endpoints(reactor, forward, "ab")
-    quarantine.served(forward, Call())
-    assert forward.quarantine.sharing.told[-1].incarnation == ""
-    assert quarantine.suspect_status(forward, Call()) is registry.SuspectStatus.CLEAR
-
-
-def test_what_is_served_while_an_endpoint_is_looked_for_did_not_end_it(entry):
-    reactor, forward, _ = entry
-    forward.pool.closed.add("a")
-    quarantine.broke(forward, Call(), member("a"))
-    quarantine.served(forward, Call())
+    reactor, forwarder, _ = entry
+    crash_endpoints(reactor, forwarder, "ab")
+    quarantine.request_served(forwarder, Call())
+    assert forwarder.quarantine.sharing.published[-1].incarnation == ""
+    assert quarantine.suspect_status(forwarder, Call()) is registry.SuspectStatus.CLEAR
+
+
+def test_a_request_served_during_the_check_did_not_cause_the_crash(entry):
+    reactor, forwarder, _ = entry
+    forwarder.pool.closed.add("a")
+    quarantine.connection_ended(forwarder, Call(), member("a"))
+    quarantine.request_served(forwarder, Call())
     reactor.advance(1)
-    assert forward.quarantine.sharing.told == []
+    assert forwarder.quarantine.sharing.published == []
 
 
-def test_what_other_entries_saw_counts_here(entry):
+def test_reports_of_other_entries_count(entry):
     # The caller retries at another entry each time.
-    _, forward, refused = entry
+    _, forwarder, refused = entry
     name = quarantine.digest_of(Call())
-    reports = [ttypes.CrashReport(name, life, 1000 * n) for n, life in enumerate("abc")]
-    quarantine_of = forward.quarantine
-    quarantine_of.hear(forward, reports)
-    assert not quarantine.enter(forward, Call())
+    reports = [
+        ttypes.CrashReport(name, endpoint_id, 1000 * n)
+        for n, endpoint_id in enumerate("abc")
+    ]
+    quarantine_of = forwarder.quarantine
+    quarantine_of.receive_reports(forwarder, reports)
+    assert not quarantine.enter(forwarder, Call())
     assert refused[0][1] == "convicted"
-    assert quarantine_of.sharing.told == []
+    assert quarantine_of.sharing.published == []
 
 
-def test_a_calm_entry_works_out_no_digest(entry):
+def test_no_digest_is_computed_without_suspects(entry):
     # Guards against the cost of hashing each request while no endpoint has crashed.
-    _, forward, _ = entry
+    _, forwarder, _ = entry
     call = Call()
-    assert quarantine.enter(forward, call)
-    quarantine.served(forward, call)
+    assert quarantine.enter(forwarder, call)
+    quarantine.request_served(forwarder, call)
     assert call.digest is None
--- a/dunlinpoint/forward/tests/test_routes.py
+++ b/dunlinpoint/forward/tests/test_routes.py
@@ -36,12 +36,12 @@
         ("other.example", "/a/", None),
     ],
 )
-def test_the_longest_prefix_that_begins_the_path_wins(host, path, prefix):
+def test_the_longest_matching_prefix_wins(host, path, prefix):
     found = TABLE.match(host, path)
     assert (found.prefix if found else None) == prefix
 
 
-def test_a_key_leads_to_its_workspace_only():
+def test_a_key_selects_only_its_workspace():
     assert TABLE.workspace("Bearer k2").name == "w"
     for value in (None, "", "Bearer", "Bearer k3", "Basic k1", "k1"):
         assert TABLE.workspace(value) is None
@@ -51,7 +51,7 @@
     split = [config.Share("a", 90), config.Share("b", 10), config.Share("c", 0)]
     rng = random.Random(1)
     drawn = collections.Counter(
-        routes.service_of(route("/", split=split), rng) for _ in range(2000)
+        routes.choose_service(route("/", split=split), rng) for _ in range(2000)
     )
     assert drawn["c"] == 0 and 120 < drawn["b"] < 280
 
@@ -65,5 +65,5 @@
         (config.STREAMING, False, False),
     ],
 )
-def test_what_may_run_again_follows_from_the_kind(kind, resumable, again):
-    assert routes.repeatable(route("/", kind=kind, resumable=resumable)) is again
+def test_the_route_kind_decides_whether_a_request_is_repeatable(kind, resumable, again):
+    assert routes.is_repeatable(route("/", kind=kind, resumable=resumable)) is again
--- a/dunlinpoint/forward/tests/test_guard.py
+++ b/dunlinpoint/forward/tests/test_watchdog.py
@@ -4,7 +4,7 @@
 from twisted.internet import defer, task
 
 from dunlinpoint import clock, metrics
-from dunlinpoint.forward import guard
+from dunlinpoint.forward import watchdog
 from dunlinpoint.routing import pick
 from dunlinpoint.wire.gen.dunlin import ttypes
 
@@ -24,7 +24,7 @@
 class Pool:
     answers: bool
 
-    def reaches(self, member):
+    def can_connect(self, member):
         return defer.succeed(self.answers)
 
 
@@ -44,21 +44,21 @@
     service: str = "s"
 
 
-def silent_for(ms, answers, used_before=False, other_heard=True):
+def unresponsive_for(ms, answers, used_before=False, other_responds=True):
     """Return the connection to an unresponsive endpoint after *ms*."""
     reactor = task.Clock()
     reactor.advance(100)
-    forward = Forwarder(
+    forwarder = Forwarder(
         clock.Clock(reactor), pick.Picker("z"), Pool(answers), metrics.Counters(None)
     )
     connection = Connection(used_before)
-    forward.picker.data_received("a", forward.clock.now())
-    watching = guard.Guard(forward, Call(), MEMBERS[0], connection)
-    watching.check_again(pick.UNRESPONSIVE_MS)
+    forwarder.picker.data_received("a", forwarder.clock.now())
+    watching = watchdog.Watchdog(forwarder, Call(), MEMBERS[0], connection)
+    watching.schedule_check(pick.UNRESPONSIVE_MS)
     for _ in range(ms // 50):
         reactor.advance(0.05)
-        if other_heard:
-            forward.picker.data_received("b", forward.clock.now())
+        if other_responds:
+            forwarder.picker.data_received("b", forwarder.clock.now())
     return connection
 
 
@@ -67,16 +67,16 @@
     # long queue of one rank for over a second while the other ranks send events. If the
     # queue is mistaken for an unreachable machine, the attempt is aborted there, and
     # again at the next rank.
-    assert not silent_for(3000, answers=True).closed
+    assert not unresponsive_for(3000, answers=True).closed
 
 
-def test_an_endpoint_out_of_reach_is_left():
-    assert silent_for(1500, answers=False).closed
+def test_an_attempt_at_an_unreachable_endpoint_is_aborted():
+    assert unresponsive_for(1500, answers=False).closed
 
 
-def test_a_kept_connection_that_went_silent_is_left():
-    assert silent_for(1500, answers=True, used_before=True).closed
+def test_an_attempt_on_a_dead_idle_connection_is_aborted():
+    assert unresponsive_for(1500, answers=True, used_before=True).closed
 
 
-def test_all_of_a_group_being_silent_says_nothing_of_one():
-    assert not silent_for(3000, answers=False, other_heard=False).closed
+def test_no_attempt_is_aborted_if_all_endpoints_are_unresponsive():
+    assert not unresponsive_for(3000, answers=False, other_responds=False).closed
--- a/dunlinpoint/forward/guard.py
+++ b/dunlinpoint/forward/watchdog.py
@@ -12,54 +12,54 @@
 from dunlinpoint.forward import routes
 from dunlinpoint.routing import pick
 
-GUARD_MS = 250
+CHECK_INTERVAL_MS = 250
 # Share of the remaining time that an idempotent request spends on its first endpoint
 # before another one is tried.
-FIRST_TRY_SHARE = 0.6
+FIRST_ATTEMPT_SHARE = 0.6
 
 
 @attrs.define
-class Guard:
+class Watchdog:
     """Aborts an attempt early where another endpoint may still answer."""
 
-    forward: object
+    forwarder: object
     call: object
     member: object
     connection: object
     timer: object = None
     stopped: bool = False
 
-    def check_again(self, pause_ms):
-        """Check after *pause_ms* whether the endpoint is unresponsive."""
-        self.timer = self.forward.clock.call_later(pause_ms, self.check)
+    def schedule_check(self, delay_ms):
+        """Check after *delay_ms* whether the endpoint is unresponsive."""
+        self.timer = self.forwarder.clock.call_later(delay_ms, self.check)
 
     def check(self):
         """Abort the attempt or probe the endpoint if only it is unresponsive."""
-        members = self.forward.members(self.call.service)
-        now = self.forward.clock.now()
-        if not self.forward.picker.is_unresponsive(
+        members = self.forwarder.members(self.call.service)
+        now = self.forwarder.clock.now()
+        if not self.forwarder.picker.is_unresponsive(
             pick.incarnation_key(self.member), members, now
         ):
-            self.check_again(GUARD_MS)
+            self.schedule_check(CHECK_INTERVAL_MS)
         elif self.connection.used_before:
-            self.give_up("silent_connection")
+            self.abort("silent_connection")
         else:
-            found = self.forward.pool.reaches(self.member)
-            found.addCallback(self.reached)
+            probe = self.forwarder.pool.can_connect(self.member)
+            probe.addCallback(self.probe_done)
 
-    def reached(self, answers):
+    def probe_done(self, accepted):
         """Handle the result of the probe: whether a new connection was accepted."""
         if self.stopped:
             return
-        if answers:
-            self.forward.counters.incr("endpoint.busy")
-            self.check_again(pick.UNRESPONSIVE_MS)
+        if accepted:
+            self.forwarder.counters.incr("endpoint.busy")
+            self.schedule_check(pick.UNRESPONSIVE_MS)
         else:
-            self.give_up("out_of_reach")
+            self.abort("out_of_reach")
 
-    def give_up(self, reason):
+    def abort(self, reason):
         """Abort the attempt by closing its connection."""
-        self.forward.counters.incr(f"endpoint.{reason}")
+        self.forwarder.counters.incr(f"endpoint.{reason}")
         self.connection.close()
 
     def stop(self):
@@ -69,19 +69,21 @@
             self.timer.cancel()
 
 
-def start(forward, call, member, connection):
-    """Return the ``Guard`` of an attempt, or ``None`` if it must not be repeated.
+def start(forwarder, call, member, connection):
+    """Return the ``Watchdog`` of an attempt, or ``None`` if it must not be repeated.
 
     A plain response is passed on only when complete, so its attempt is aborted after
     a share of the remaining time. A stream may take long, so its attempt is aborted
     only when the endpoint is unresponsive.
     """
-    if not routes.repeatable(call.route) or call.tries >= call.route.max_attempts:
+    if not routes.is_repeatable(call.route) or call.attempts >= call.route.max_attempts:
         return None
-    guard = Guard(forward, call, member, connection)
+    watchdog = Watchdog(forwarder, call, member, connection)
     if call.streaming:
-        guard.check_again(pick.UNRESPONSIVE_MS)
-        return guard
-    left = call.deadline_ms - forward.clock.now()
-    guard.timer = forward.clock.call_later(left * FIRST_TRY_SHARE, connection.close)
-    return guard
+        watchdog.schedule_check(pick.UNRESPONSIVE_MS)
+        return watchdog
+    remaining_ms = call.deadline_ms - forwarder.clock.now()
+    watchdog.timer = forwarder.clock.call_later(
+        remaining_ms * FIRST_ATTEMPT_SHARE, connection.close
+    )
+    return watchdog
