--- a/dunlinpoint/forward/tests/test_capacity.py
+++ b/dunlinpoint/forward/tests/test_capacity.py
@@ -392,16 +392,20 @@
     forwarder.picker.signals.apply(pick.incarnation_key(MEMBER), signal, 0, 0)
 
 
-@pytest.mark.parametrize("tell, value, free_ms", [(limit, 1, 1000), (rest, 1200, 1200)])
-def test_a_request_with_too_long_a_wait_is_refused_at_once(entry, tell, value, free_ms):
+@pytest.mark.parametrize(
+    "set_signal, value, available_ms", [(limit, 1, 1000), (rest, 1200, 1200)]
+)
+def test_a_request_with_too_long_a_wait_is_refused_at_once(
+    entry, set_signal, value, available_ms
+):
     # Guards against requests that wait too long, and against callers that retry before
     # the endpoint accepts requests.
     reactor, forwarder, outcomes = entry
-    tell(forwarder, value)
+    set_signal(forwarder, value)
     play(reactor, forwarder, Call(DEADLINE_MS), lambda _now: 50)
     ((reason, at_ms, status, retry_ms),) = outcomes
     assert (reason, at_ms, status) == ("limited", 0, 503)
-    assert free_ms <= retry_ms <= 2 * free_ms
+    assert available_ms <= retry_ms <= 2 * available_ms
 
 
 def test_retry_after_is_short_if_all_endpoints_are_draining(entry):
