--- a/dunlinpoint/entry/app.py
+++ b/dunlinpoint/entry/app.py
@@ -7,9 +7,9 @@
   service call.
 - ``GET /v1/status`` shows the zone, the document version and counters.
 
-Answers that end a request early are final and immediate: 503 with
-``Retry-After`` and ``"outcome": "not_run"`` only when no agent started the
-work; 504 with ``"outcome": "unknown"`` when it may have run.
+A response that ends a request early is sent at once and is final: 503 with
+``Retry-After`` and ``"outcome": "not_run"`` only if no agent started the request;
+504 with ``"outcome": "unknown"`` if it may have run.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 
 AGENT_TIMEOUT_MS = 3000
 READ_WAIT_MS = 1000
-START_TRIES = 3
-READ_TRIES = 5
+MAX_ATTEMPTS = 3
+MAX_READ_FAILURES = 5
 RETRY_AFTER_S = 1
 
 
 @attrs.define
 class Entry:
-    """An entry's state: its view, links to agents by address, counters."""
+    """State of an entry: its view, links to agents by address, and counters."""
 
     reactor: object
     zone: str
@@ -50,13 +50,15 @@
     links: rpc.Links
     clock: clock.Clock
     picker: pick.Picker
-    work: limits.Work = attrs.field(factory=limits.Work)
+    workspace_limiter: limits.InFlightLimiter = attrs.field(
+        factory=limits.InFlightLimiter
+    )
     in_flight: int = 0
     lifecycle: lifecycle.Lifecycle = attrs.field(factory=lifecycle.begin)
 
     @classmethod
     def from_config(cls, reactor, zone, controls, counters):
-        """An entry in *zone* following the controls at *controls*."""
+        """Return an entry in *zone* that polls the controls at *controls*."""
         entry = cls(
             reactor,
             zone,
@@ -66,21 +68,23 @@
             clock.Clock(reactor),
             pick.Picker(zone),
         )
-        entry.view.on_document.append(entry.take)
+        entry.view.on_document.append(entry.apply_document)
         return entry
 
-    def take(self, document):
-        """Put a newer document's workspace limits in force."""
+    def apply_document(self, document):
+        """Apply the workspace limits of a newer document."""
         doc = config.parse(packed.unpack(document.body))
-        self.work.limit_by_name = {w.name: w.max_in_flight for w in doc.workspaces}
+        self.workspace_limiter.limit_by_name = {
+            w.name: w.max_in_flight for w in doc.workspaces
+        }
 
     def link(self, member):
-        """The thrift link to *member*'s agent."""
+        """Return the thrift link to the agent of *member*."""
         return self.links.to(member.host, member.port)
 
 
-def final(request, status, body, retry_after_s=None):
-    """Write a final JSON answer with *status*."""
+def json_response(request, status, body, retry_after_s=None):
+    """Set status and headers of a final response; return the JSON body."""
     request.setResponseCode(status)
     request.setHeader("content-type", "application/json")
     if retry_after_s is not None:
@@ -90,14 +94,14 @@
 
 @defer.inlineCallbacks
 def start(entry, order):
-    """Start *order* on some engine agent; the member that took it, or ``None``.
+    """Start *order* at an engine agent; return its member, or ``None``.
 
-    Only certain refusals and failed connections are retried on another
-    agent: the work did not start there. A lost answer to ``start`` is
-    retried on the same agent, where starting is idempotent by request id.
+    Another agent is tried only after a refusal or a failed connection, since the
+    request certainly did not start there. If the response to ``start`` is lost, the
+    same agent is tried again, where ``start`` is idempotent by request id.
     """
     tried = set()
-    for _ in range(START_TRIES):
+    for _ in range(MAX_ATTEMPTS):
         members = owners.engines(entry.view.live("engine"), entry.zone, order.prompt)
         member = entry.picker.pick(members, entry.clock.now(), tried)
         if member is None:
@@ -110,9 +114,9 @@
             except ttypes.Refused as refused:
                 entry.counters.retried(refused.reason)
                 now = entry.clock.now()
-                notice = endpoint_signals.Signal(backoff_ms=refused.retry_after_ms)
+                signal = endpoint_signals.Signal(backoff_ms=refused.retry_after_ms)
                 entry.picker.signals.apply(
-                    pick.incarnation_key(member), notice, now, now
+                    pick.incarnation_key(member), signal, now, now
                 )
                 break
             except errors.NotSent:
@@ -127,7 +131,7 @@
 
 
 def make_app(entry):
-    """The Klein app of *entry*."""
+    """Return the Klein app of *entry*."""
     web = Klein()
 
     @web.route("/v1/generate", methods=["POST"])
@@ -135,7 +139,7 @@
     def generate(request):
         if entry.lifecycle.is_stopping():
             entry.counters.refused("draining")
-            return final(request, 503, {"outcome": "not_run"}, RETRY_AFTER_S)
+            return json_response(request, 503, {"outcome": "not_run"}, RETRY_AFTER_S)
         body = json.loads(request.content.read() or b"{}")
         request_id = request.getHeader("x-request-id") or uuid.uuid4().hex
         order = ttypes.GenerateOrder(
@@ -146,10 +150,10 @@
             priority=int(body.get("priority", 0)),
             deadline_ms=0,
         )
-        if not entry.work.enter(order.workspace):
+        if not entry.workspace_limiter.acquire(order.workspace):
             entry.counters.refused("workspace_limit")
             answer = {"request_id": request_id, "outcome": "not_run"}
-            return final(request, 429, answer, RETRY_AFTER_S)
+            return json_response(request, 429, answer, RETRY_AFTER_S)
         entry.in_flight += 1
         member = None
         try:
@@ -157,15 +161,15 @@
             if member is None:
                 entry.counters.refused("no_engine")
                 answer = {"request_id": request_id, "outcome": "not_run"}
-                return final(request, 503, answer, RETRY_AFTER_S)
+                return json_response(request, 503, answer, RETRY_AFTER_S)
             entry.picker.began(pick.incarnation_key(member))
             request.setHeader("content-type", "application/x-ndjson")
             request.setHeader("x-request-id", request_id)
             last = yield relay(entry, request, member, request_id)
             return json.dumps(last).encode() + b"\n"
         except defer.CancelledError:
-            # Klein cancels a request whose caller closed the connection. The
-            # engine would write the rest of the answer for nobody.
+            # Klein cancels a request whose caller closed the connection. Without the
+            # ``cancel`` the engine would go on generating tokens that nobody reads.
             entry.counters.incr("caller_left")
             if member is not None:
                 entry.link(member).call("cancel", request_id).addErrback(
@@ -174,7 +178,7 @@
             raise
         finally:
             entry.in_flight -= 1
-            entry.work.leave(order.workspace)
+            entry.workspace_limiter.release(order.workspace)
             if member is not None:
                 entry.picker.ended(pick.incarnation_key(member))
 
@@ -183,7 +187,7 @@
     def call(request, operation):
         if entry.lifecycle.is_stopping():
             entry.counters.refused("draining")
-            return final(request, 503, {"outcome": "not_run"}, RETRY_AFTER_S)
+            return json_response(request, 503, {"outcome": "not_run"}, RETRY_AFTER_S)
         request_id = request.getHeader("x-request-id") or uuid.uuid4().hex
         key = request.getHeader("idempotency-key") or ""
         order = ttypes.CallOrder(
@@ -198,7 +202,7 @@
         finally:
             entry.in_flight -= 1
         answer["request_id"] = request_id
-        return final(request, status, answer, retry)
+        return json_response(request, status, answer, retry)
 
     @web.route("/v1/status", methods=["GET"])
     def status(request):
@@ -217,11 +221,11 @@
 
 @defer.inlineCallbacks
 def relay(entry, request, member, request_id):
-    """Copy the stream of *request_id* to the caller; the final line's dict.
+    """Copy the stream of *request_id* to the caller; return the final line's dict.
 
-    Each piece is checked for its request id and offset before it is
-    written: a late or repeated read answer carries an offset already sent
-    and is dropped, so the caller sees its own tokens once each, in order.
+    The request id and offset of each chunk are checked before it is written: a
+    delayed or repeated response to ``read`` has an offset that was already sent and
+    is dropped, so the caller receives each of its own tokens once and in order.
     """
     offset = 0
     failures = 0
@@ -232,7 +236,7 @@
         except (errors.WireError, ttypes.Refused) as exc:
             failures += 1
             entry.counters.retried("read_failed")
-            if failures >= READ_TRIES:
+            if failures >= MAX_READ_FAILURES:
                 entry.counters.incr("gave_up.read")
                 return {
                     "request_id": request_id,
@@ -264,12 +268,14 @@
 
 @defer.inlineCallbacks
 def call_service(entry, order):
-    """Route one service call; ``(status, answer dict, retry_after or None)``.
+    """Route one service call.
 
-    A non-idempotent call goes to its key's owner only. An idempotent call
-    whose agent cannot answer is tried on the next agent in the key's
-    rendezvous order: repeating it harms nothing, and a caller should not
-    be told "unknown" about a lookup that another agent can do.
+    Returns ``(status, response dict, Retry-After in seconds or None)``.
+
+    A non-idempotent call is sent only to the owner of its key. If the agent of an
+    idempotent call cannot answer, the next agent in the rendezvous order of the key
+    is tried: repeating the call is safe, and a caller should not receive "unknown"
+    for a lookup that another agent can serve.
     """
     key = order.idempotency_key or order.request_id
     ranked = owners.owners(entry.view.live("service"), key)
@@ -280,8 +286,8 @@
     answer = 503, {"outcome": "not_run"}, RETRY_AFTER_S
     if not ranked:
         entry.counters.refused("no_service")
-    for member in ranked[:START_TRIES]:
-        answer = yield call_one(entry, member, order, key)
+    for member in ranked[:MAX_ATTEMPTS]:
+        answer = yield call_member(entry, member, order, key)
         if answer[1]["outcome"] == "done" or answer[0] == 400:
             return answer
         entry.counters.retried(f"call_{answer[1]['outcome']}")
@@ -289,8 +295,11 @@
 
 
 @defer.inlineCallbacks
-def call_one(entry, member, order, key):
-    """One try of a service call at *member*."""
+def call_member(entry, member, order, key):
+    """Make one attempt of a service call at *member*.
+
+    Returns the same as :func:`call_service`.
+    """
     try:
         result = yield entry.link(member).call("call", order)
     except ttypes.Refused as refused:
@@ -310,7 +319,7 @@
         try:
             body = json.loads(result.body_json)
         except ValueError:
-            # The caller's own whole answer, though not the JSON it should be.
+            # The response is complete and belongs to this call, but is not valid JSON.
             body = result.body_json
         return result.status, {"outcome": "done", "body": body}, None
     if result.outcome == "not_run":
--- a/dunlinpoint/entry/tests/test_start.py
+++ b/dunlinpoint/entry/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Which agent an entry starts work at."""
+"""Selection of the agent at which an entry starts a request."""
 
 import attrs
 from twisted.internet import defer, task
@@ -8,7 +8,7 @@
 from dunlinpoint.routing import pick
 from dunlinpoint.wire.gen.dunlin import ttypes
 
-REST_MS = 200
+BACKOFF_MS = 200
 MEMBERS = [ttypes.Member(endpoint_id=name, zone="z", slots=4) for name in "ab"]
 
 
@@ -22,7 +22,7 @@
 
 @attrs.define
 class Link:
-    """A link to an agent; those that drain refuse."""
+    """A link to an agent; agent ``a`` is draining and refuses."""
 
     name: str
     asked: list
@@ -30,7 +30,7 @@
     def call(self, _method, _order):
         self.asked.append(self.name)
         if self.name == "a":
-            return defer.fail(ttypes.Refused("draining", REST_MS))
+            return defer.fail(ttypes.Refused("draining", BACKOFF_MS))
         return defer.succeed(None)
 
 
@@ -47,8 +47,8 @@
         return Link(member.endpoint_id, self.asked)
 
 
-def test_an_agent_that_refuses_is_left_alone_for_as_long_as_it_asks(monkeypatch):
-    # Guards against work started again and again at an agent that drains.
+def test_an_agent_that_refuses_gets_no_request_during_its_backoff(monkeypatch):
+    # Guards against requests sent repeatedly to an agent that is draining.
     monkeypatch.setattr(app.owners, "engines", lambda members, *_: members)
     reactor = task.Clock()
     entry = Entry(clock.Clock(reactor))
@@ -56,6 +56,6 @@
     for _ in range(3):
         app.start(entry, order)
     assert entry.asked == ["a", "b", "b", "b"]
-    reactor.advance(REST_MS / 1000)
+    reactor.advance(BACKOFF_MS / 1000)
     app.start(entry, order)
     assert entry.asked[4:] == ["a", "b"]
--- a/dunlinpoint/forward/routes.py
+++ b/dunlinpoint/forward/routes.py
@@ -1,7 +1,7 @@
-"""Routes and keys of the document in force, arranged for lookups.
+"""Lookup tables for the routes and keys of the document in force.
 
-A table is built once per document; a lookup costs one dict probe per path
-segment and one for the key, whatever the number of routes and workspaces.
+A table is built once per document. A lookup costs one dict access per path segment
+and one for the key, independent of the number of routes and workspaces.
 """
 
 import random
@@ -10,58 +10,67 @@
 
 from dunlinpoint.config import document as config
 
-BEARER = "Bearer "
+BEARER_PREFIX = "Bearer "
 
 
 @attrs.define
 class Table:
-    """Routes by host and prefix, workspaces by key."""
+    """Routes by host and prefix, and workspaces by key.
 
-    route_by_place: dict = attrs.field(factory=dict)
+    ``has_keys`` tells whether any workspace has a key; ``version`` is the document's.
+    """
+
+    route_by_host_and_prefix: dict = attrs.field(factory=dict)
     workspace_by_key: dict = attrs.field(factory=dict)
-    keyed: bool = False
+    has_keys: bool = False
     version: int = 0
 
     @classmethod
     def from_document(cls, doc, version):
-        """The table of *doc*, in force as *version*."""
+        """Return the table of *doc*, whose document version is *version*."""
         return cls(
-            route_by_place={(r.host.lower(), r.prefix): r for r in doc.routes},
+            route_by_host_and_prefix={
+                (r.host.lower(), r.prefix): r for r in doc.routes
+            },
             workspace_by_key={key: w for w in doc.workspaces for key in w.keys},
-            keyed=any(w.keys for w in doc.workspaces),
+            has_keys=any(w.keys for w in doc.workspaces),
             version=version,
         )
 
     def match(self, host, path):
-        """The route of *host* with the longest prefix of *path*, or ``None``.
+        """Return the route of *host* with the longest matching prefix of *path*.
 
-        *host* may carry a port; *path* is without its query.
+        *host* may include a port; *path* has no query string. Returns ``None`` if
+        no route matches.
         """
         host = host.rsplit(":", 1)[0].lower()
         end = path.rfind("/")
         while end >= 0:
-            route = self.route_by_place.get((host, path[: end + 1]))
+            route = self.route_by_host_and_prefix.get((host, path[: end + 1]))
             if route is not None:
                 return route
             end = path.rfind("/", 0, end)
         return None
 
     def workspace(self, authorization):
-        """The workspace whose key an ``Authorization`` value holds, or ``None``."""
-        if not authorization or not authorization.startswith(BEARER):
+        """Return the workspace of the key in an ``Authorization`` header value.
+
+        Returns ``None`` for an unknown key or another authentication scheme.
+        """
+        if not authorization or not authorization.startswith(BEARER_PREFIX):
             return None
-        return self.workspace_by_key.get(authorization[len(BEARER) :].strip())
+        return self.workspace_by_key.get(authorization[len(BEARER_PREFIX) :].strip())
 
 
-def service_of(route, rng=random):
-    """One of the services of *route*, drawn by weight."""
+def choose_service(route, rng=random):
+    """Return the name of a service of *route*, chosen randomly by weight."""
     if len(route.split) == 1:
         return route.split[0].service
     weights = [share.weight for share in route.split]
     return rng.choices(route.split, weights)[0].service
 
 
-def repeatable(route):
+def is_repeatable(route):
     """Whether a request on *route* may run more than once."""
     return route.kind == config.IDEMPOTENT or (
         route.kind == config.STREAMING and route.resumable
