--- a/dunlinpoint/experts/__init__.py
+++ b/dunlinpoint/experts/__init__.py
@@ -1,16 +1,23 @@
-"""One expert map for a group whose ranks are separate processes.
+"""Expert maps for a group whose ranks are separate processes.
 
 ==============  ==========================================================
-module          holds
+module          contents
 ==============  ==========================================================
-``placement``   maps, the load they put on ranks, and better ones
-``window``      what was chosen lately, from counters that only grow
-``switch``      the change of map: every rank at one step, or none
-``rank``        one rank's engine, and what its agent answers the others
-``lead``        the loop at rank 0 that reads, plans and switches
+``placement``   expert maps, the load they put on ranks, and improved maps
+``worth``       benefit, size and urgency of a change of map
+``window``      recent expert demand, from cumulative counters
+``switch``      the change of map: every rank at the same step, or none
+``orders``      engine commands and their compression between agents
+``giver``       command dispatcher from an agent to its own engine
+``engine``      HTTP client of one rank's engine
+``rank``        service and announcements of one rank's agent
+``gather``      queries to many ranks through aggregators
+``reach``       the ranks of a group as the leader and its standby reach them
+``lead``        control loop at rank 0: read, plan and switch
+``messages``    wire messages about ranks
 ==============  ==========================================================
 
-Why rank 0 leads: the group cannot make a step without it, so whoever can
-reach no rank 0 has no group to lead either. No election is needed, and a
-cut-off lead cannot compete with another.
+The leader is always the agent of rank 0. The group cannot make a step without
+rank 0, so whoever cannot reach rank 0 has no group to lead. No election is
+needed, and a partitioned leader cannot compete with another.
 """
--- a/dunlinpoint/experts/dispatcher.py
+++ b/dunlinpoint/experts/dispatcher.py
@@ -1,9 +1,9 @@
-"""Orders on the last step of their way: from a rank's agent to its engine.
+"""Dispatch of commands from a rank's agent to its engine.
 
-An engine may leave an order unanswered, and carry it out late or never. Its own agent
-finds that out soonest and gives the order again at once. Left to the lead, each
-round of such orders took a message to every rank and a timeout made for the longest
-way.
+An engine may leave a command unanswered, and execute it late or never. Its own agent
+detects that soonest and repeats the command at once. When the leader repeated commands,
+each round took a message to every rank and a timeout sized for the longest network
+path.
 """
 
 import attrs
@@ -14,24 +14,25 @@
 
 OK = (200, 202)
 REFUSED = 409
-# How long an engine beside its agent may take to answer (ms): a third of what a lead on
-# another machine would wait. An order that is given again too soon is refused or taken
-# as the same, which harms nothing.
+# Timeout of one attempt (ms) for an engine on the agent's own host: a third of what a
+# leader on another machine would wait. Repeating a command too soon is harmless, as the
+# engine refuses it or accepts it as the same command.
 TRY_MS = 50
-# How often an order is given, and how many copies at once after the first went
-# unanswered: with half of them lost, 1 in 16 is left for the lead to give again, and 1
-# in 64 while it is known that they get lost.
+# Number of attempts, and of copies sent at once after an attempt went unanswered. With
+# half of all commands lost, 1 in 16 is left for the leader to repeat, and 1 in 64 while
+# commands are known to get lost.
 TRIES = 2
 COPIES = 3
-# Orders that went unanswered are a sign for so long that others will: whatever loses
-# them lasts some seconds.
+# For how long after an unanswered command further losses are expected: the causes of
+# lost commands last some seconds.
 UNANSWERED_MS = 5000
 
 
 def best(statuses):
-    """What the *statuses* of one order given several times come to.
+    """Combine the *statuses* of several copies of one command into one status.
 
-    One copy that was taken makes others be refused: that is no refusal.
+    An accepted copy makes the engine refuse the others, so one acceptance counts more
+    than any refusal.
     """
     taken = [status for status in statuses if status in OK]
     return taken[0] if taken else max(statuses)
@@ -39,25 +40,25 @@
 
 @attrs.define
 class Unanswered:
-    """When an order was last left unanswered."""
+    """Time of the last unanswered command."""
 
     clock: clock.Clock
     at_ms: int | None = None
 
     def note(self):
-        """An order was left unanswered now."""
+        """Record that a command was left unanswered now."""
         self.at_ms = self.clock.now()
 
     def lately(self):
-        """Whether one was, so lately that others may be."""
+        """Whether a command went unanswered within ``UNANSWERED_MS``."""
         return self.at_ms is not None and self.clock.now() - self.at_ms < UNANSWERED_MS
 
 
 @attrs.define
 class Giver:
-    """Gives orders to the engine that is beside this agent, one after the other.
+    """Sends commands to the engine on this agent's host, one after the other.
 
-    ``prepared`` is the newest order to prepare a map that it was given.
+    ``prepared`` is the newest command to prepare a map that was dispatched.
     """
 
     engine: object
@@ -72,15 +73,15 @@
         self.unanswered = Unanswered(self.clock)
 
     def give(self, order):
-        """Give *order*; a Deferred of its status, or 0 if nothing tells."""
+        """Send *order*; a Deferred of its HTTP status, or 0 if there was no answer."""
         return self.lock.run(self._give, order)
 
     @defer.inlineCallbacks
     def _give(self, order):
         taken = order == self.last and self.last_status in OK
         if taken and order.operation != orders.DISARM:
-            # A rank can be armed once more by an order that its engine carries out
-            # late, so one to disarm is never done with.
+            # DISARM is always sent again: an earlier command to arm that the engine
+            # executes late can arm the rank once more.
             return self.last_status
         if order.operation == orders.PREPARE:
             self.prepared = order
@@ -100,7 +101,7 @@
             if 0 in statuses:
                 self.unanswered.note()
             if status == REFUSED and unsure and order.operation == orders.PREPARE:
-                # The one before may have been carried out, and this refused for it.
+                # An earlier copy may have been executed and caused this refusal.
                 return 0
             if status:
                 return status
--- a/dunlinpoint/experts/engine.py
+++ b/dunlinpoint/experts/engine.py
@@ -1,8 +1,8 @@
-"""One rank's engine, as its agent or a lead calls it.
+"""HTTP client of one rank's engine, for its agent or a leader.
 
-The agent stands beside its rank's engine, whose report is fresh there and
-costs the group nothing; read from another machine, a reading of the counts
-stops the whole group for a moment.
+The agent runs on the same host as its rank's engine, where reports are fresh and
+reading them costs the group nothing. Reading the counts from another machine stops the
+whole group for a moment.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from dunlinpoint import clock
 
 TIMEOUT_MS = 700
-# An order's answer comes at once or not at all; it is given again sooner.
+# A command is answered at once or not at all, so it is repeated sooner than a read.
 ORDER_TIMEOUT_MS = 150
 
 
 class RankError(Exception):
-    """The rank's engine did not answer, or not as a rank of a group."""
+    """The engine did not answer, or its answer is not that of a rank of a group."""
 
 
 @attrs.frozen
 class EnginePaths:
-    """Paths of an engine's own interface."""
+    """URL paths of an engine's own interface."""
 
     report: str = "/api/report"
     counts: str = "/api/picked"
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class Engine:
-    """The engine of one rank at *url*."""
+    """The engine of one rank at *address* (``host:port``)."""
 
     address: str
     calls: EnginePaths
@@ -44,7 +44,7 @@
 
     @classmethod
     def from_config(cls, reactor, address, calls, read_state):
-        """The engine at *address*; *read_state* turns its bodies into ours."""
+        """The engine at *address*; *read_state* makes a ``RankState`` of its bodies."""
         pool = client.HTTPConnectionPool(reactor, persistent=True)
         pool.retryAutomatically = False
         agent = client.Agent(reactor, pool=pool)
@@ -56,7 +56,7 @@
         return f"http://{self.address}"
 
     def at(self, address):
-        """The engine of another rank, at *address*."""
+        """Return a client of another rank's engine, at *address*."""
         return attrs.evolve(self, address=address)
 
     @defer.inlineCallbacks
@@ -72,9 +72,9 @@
 
     @defer.inlineCallbacks
     def state(self, experts=False):
-        """The rank's ``RankState``, with its *experts* if asked for.
+        """A Deferred of the rank's ``RankState``, with its experts if *experts*.
 
-        Raises ``RankError``, like :meth:`counts`.
+        Fails with ``RankError``, like :meth:`counts`.
         """
         report = yield self._get(self.calls.report)
         lists = (yield self._get(self.calls.experts)) if experts else None
@@ -85,7 +85,7 @@
 
     @defer.inlineCallbacks
     def counts(self):
-        """How often each expert of each set was chosen since the rank's start."""
+        """A Deferred of how often each expert of each set was chosen since start-up."""
         picked = yield self._get(self.calls.counts)
         try:
             return picked["counts"]
@@ -94,7 +94,7 @@
 
     @defer.inlineCallbacks
     def order(self, body_json, timeout_ms=ORDER_TIMEOUT_MS):
-        """Give the engine an order; its status, or 0 for no answer."""
+        """Send the engine a command; a Deferred of its status, or 0 for no answer."""
         try:
             response = yield self.http.post(
                 self.url + self.calls.order,
--- a/dunlinpoint/experts/gather.py
+++ b/dunlinpoint/experts/gather.py
@@ -1,16 +1,16 @@
-"""Asking many ranks at once, by way of some of them.
-
-A lead that asks 71 ranks itself takes about a fifth of a second of its link (4 Mbit/s)
-for their counts and as long for a map, by the sizes of both; maps were in force 0.5 to
-1.2 s after they were planned, and are 0.2 to 0.4 s after it now. So ranks are
-divided into parts by availability zone, and one of each part passes the question on to
-the others and gathers what they answer: sums of counts travel instead of the counts,
-and a map travels once to each part. With 8 parts of 9 ranks every link carries what a
-group of 9 would.
-
-Whoever gathers asks each rank anew, so what it hands on is as fresh as an answer by
-the rank itself that took as long. One that does not answer in time is asked as any
-other rank for a while, and the ranks of its part are asked directly, at once.
+"""Queries to many ranks at once, through aggregators.
+
+A leader that asks 71 ranks itself occupies its link (4 Mbit/s) for about a fifth of a
+second for their counts, and for as long for a map, judging by the sizes of both. Maps
+were then in force 0.5 to 1.2 s after they were planned, against 0.2 to 0.4 s with
+aggregation. Ranks are therefore divided into subgroups by availability zone. One agent
+of each subgroup, the aggregator, forwards the query to the others and combines their
+answers: sums of counts are sent instead of the counts, and a map is sent once to each
+subgroup. With 8 subgroups of 9 ranks, every link carries what a group of 9 would.
+
+An aggregator queries each rank anew, so its result is as fresh as an answer by the rank
+itself that took as long. An aggregator that does not answer in time does not aggregate
+for a while, and the other ranks of its subgroup are asked directly at once.
 """
 
 import math
@@ -25,20 +25,20 @@
 
 log = logs.logger("experts")
 
-# So many ranks (16) are asked directly: what passing on saves them, 3 KB a reading, is
-# less than the way through another machine takes.
+# Up to this many ranks (16) are asked directly: what aggregation saves them, 3 KB a
+# reading, is less than the extra hop through another machine takes.
 DIRECT_RANKS = 16
-# For how long a rank that did not answer in time gathers nothing.
+# How long a rank that did not answer in time is not used as an aggregator.
 AVOID_MS = 5000
-# What is left of the asker's time for the ranks behind, the rest being for the way to
-# whoever gathers and back.
+# Share of the query's timeout that an aggregator has for its subgroup; the rest covers
+# the network path to the aggregator and back.
 BEHIND_SHARE = 0.6
 LINK_TIMEOUT_MS = 900
 
 
 @attrs.frozen
 class Peer:
-    """Where a rank's agent answers."""
+    """Address of a rank's agent; *zone* does not count in comparisons."""
 
     host: str
     port: int
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class Question:
-    """What ranks are asked: see ``Question`` of the wire."""
+    """A query to ranks; the fields are those of ``Question`` on the wire."""
 
     counts: bool = False
     experts: bool = False
@@ -57,9 +57,9 @@
 
 @attrs.define
 class Found:
-    """Answers (``RankAnswer``) that came, and counts by part of the ranks.
+    """Answers (``RankAnswer``) received, and one list of counts per subgroup.
 
-    ``rank_by_peer`` has the ranks of agents that answered for themselves alone.
+    ``rank_by_peer`` has the ranks of agents that answered only for themselves.
     """
 
     answers: list = attrs.field(factory=list)
@@ -67,20 +67,20 @@
     rank_by_peer: dict = attrs.field(factory=dict)
 
     def add(self, gathered):
-        """Take in what one agent gathered."""
+        """Add the ``Gathered`` result of one agent."""
         self.answers.extend(gathered.answers)
         if gathered.counts:
             self.counts.append(window.unpack(gathered.counts))
 
     def packed_counts(self):
-        """The sum of the counts, packed; ``None`` if there are none."""
+        """Return the sum of the counts, packed; ``None`` if there are none."""
         return window.pack(window.total(self.counts)) if self.counts else None
 
 
 def divide(peers, avoided=(), apart=()):
-    """*peers* in parts (lists), the first of each being the one that gathers.
+    """Divide *peers* into subgroups (lists) whose first member is the aggregator.
 
-    Those *avoided* gather nothing; those *apart* are asked directly.
+    Peers *avoided* do not aggregate; those *apart* are asked directly.
     """
     if len(peers) <= DIRECT_RANKS:
         return [[peer] for peer in peers]
@@ -94,13 +94,13 @@
 
 
 def split(peers, count):
-    """*peers* in *count* parts of about the same size, the first ones leading them."""
+    """Split *peers* into *count* lists of similar size, led by the first *count*."""
     return [peers[number::count] for number in range(count)]
 
 
 @attrs.define
 class Asker:
-    """Asks other ranks' agents, for a lead or for an agent that gathers."""
+    """Queries other ranks' agents, for a leader or for an aggregator."""
 
     clock: clock.Clock
     links: rpc.Links
@@ -109,15 +109,15 @@
 
     @classmethod
     def from_config(cls, reactor):
-        """One that asks by links of *reactor*."""
+        """A client that opens its connections through *reactor*."""
         links = rpc.Links(reactor, Rank.Client, LINK_TIMEOUT_MS)
         return cls(clock.Clock(reactor), links)
 
     @defer.inlineCallbacks
     def ask(self, peer, question, timeout_ms, behind=()):
-        """What the agent at *peer* gathered from itself and the peers *behind*.
+        """A Deferred of the ``Gathered`` result of *peer* and its subgroup *behind*.
 
-        Raises ``WireError``, or ``Refused`` where the agent won't answer.
+        Fails with ``WireError``, or with ``Refused`` if the agent refuses to answer.
         """
         for _ in range(2):
             message = self._message(peer, question, timeout_ms, behind)
@@ -147,12 +147,12 @@
 
     @defer.inlineCallbacks
     def ask_all(self, peers, question, timeout_ms, apart=()):
-        """``Found`` of all *peers*; those *apart* are asked by none but this one."""
+        """A Deferred of ``Found`` for all *peers*; those *apart* are asked directly."""
         parts = divide(peers, self.avoided(), apart)
         return (yield self._ask_parts(parts, question, timeout_ms))
 
     def ask_each(self, peers, question, timeout_ms):
-        """``Found`` of *peers*, each asked directly."""
+        """A Deferred of ``Found`` for *peers*, each asked directly."""
         return self._ask_parts([[peer] for peer in peers], question, timeout_ms)
 
     @defer.inlineCallbacks
@@ -183,7 +183,7 @@
         )
 
     def avoided(self):
-        """The peers that gather nothing now."""
+        """Return the peers that must not aggregate now."""
         now = self.clock.now()
         by_peer = self.avoided_ms_by_peer
         for peer in [peer for peer, until_ms in by_peer.items() if until_ms <= now]:
--- a/dunlinpoint/experts/leader.py
+++ b/dunlinpoint/experts/leader.py
@@ -1,13 +1,13 @@
-"""The loop at rank 0 that reads every rank, plans a map, and switches to it.
+"""The control loop at rank 0, which reads every rank, plans a map and switches to it.
 
-A lead can die or freeze with the group held. The agent of the next rank
-is its deputy: once the lead has stopped reading it, it finishes what was
-begun and lifts the hold, and plans nothing itself.
+A leader can die or freeze while it holds the group. The agent of the next rank is its
+standby: once the leader has stopped querying it, the standby finishes the change of map
+in progress and lifts the hold. It plans nothing itself.
 
-Every turn the lead reads all ranks' counts through their agents. It
-plans with what was chosen lately and switches when the new map saves enough
-of the time that experts take in a step; how much is enough depends on how
-the group weighs skew against the cost of moving experts.
+In each iteration the leader reads all ranks' counts through their agents. It plans by
+recent demand, and switches when the new map saves enough of the time that experts take
+in a step. How much is enough depends on how the group weighs skew against the cost of
+moving experts.
 """
 
 from __future__ import annotations
@@ -33,41 +33,41 @@
 
 log = logs.logger("experts")
 
-# The pause between turns of the lead while its group makes passes and while it
-# makes none, of its deputy, and of the other ranks, which only look whether they
-# have become one of the two. Demand moves to other experts within one pass, and
-# every pass until the next map is as long as that makes it.
+# Delay between iterations: of the leader while its group makes steps and while it makes
+# none, of its standby, and of the other ranks, which only check whether they have
+# become one of the two. Demand shifts to other experts within one step, and makes every
+# step longer until the next map is in force.
 LEAD_TURN_MS = 50
 IDLE_TURN_MS = 400
 DEPUTY_TURN_MS = 150
 OTHER_TURN_MS = 2000
-# The pause of the lead and its deputy while the group is broken. Looked at
-# every 2 s, a group that had opened went on with its first map for up to that
-# long, with most streams late.
+# Delay of the leader and its standby while the group is broken. Polled every 2 s, a
+# group that had reopened kept its first map for up to 2 s, with most streams past
+# their latency target.
 BROKEN_TURN_MS = 150
-# How long the lead may be silent before its deputy takes it for dead. A lead reads
-# every 50 ms, and every 400 ms or sooner while it switches and orders get lost. With
-# 350 ms a lead that was merely slow was taken for dead, and armed ranks beside its
-# deputy.
+# How long the leader may be silent before its standby takes over. A leader queries
+# every 50 ms, and every 400 ms or sooner while it switches and commands get lost. With
+# 350 ms a slow leader was declared dead, and armed ranks while its standby took over.
 PATIENCE_MS = 600
 FOLLOW_WAIT_MS = 3000
-# What a lead needs of a document, its engines' shape and the pause that callers are
-# promised, hardly ever changes; it is in force within seconds all the same.
+# A leader needs only its engines' shape and the promised inter-event gap from a
+# document. They hardly ever change, and a new document is in force within seconds all
+# the same.
 BODY_PAUSE_MS = 2000
-# A pass is taken to last no longer than this: an idle group makes none.
+# Upper limit of the estimated step duration, because an idle group makes no steps.
 PASS_LIMIT_MS = 200
-# Passes are counted over so long at least: a turn sees one or two.
+# Minimum interval over which steps are counted: one iteration covers one or two.
 PACE_MS = 400
-# Fewer choices of a set than this are too few to plan by.
+# Minimum number of choices of a set that a map is planned by.
 LEAST_COUNT = 2000
-# Versions are drawn with gaps, so that an order of an earlier lead that is
-# carried out late does not carry a number this lead gives to another map.
+# Largest random gap between map versions. It prevents a command of an earlier leader
+# that is executed late from naming a version that this leader gives to another map.
 VERSION_GAP = 1000
 
 
 @attrs.define
 class Leader:
-    """What the agent of rank 0 keeps between turns."""
+    """State that the agent of rank 0 keeps between iterations."""
 
     reach: reach.Reach
     view: view.View
@@ -91,7 +91,7 @@
 
     @classmethod
     def from_config(cls, reactor, handler, lead_view, counters, service):
-        """A lead for the group of *handler*'s engine, one of *service*."""
+        """A leader for the group of *handler*'s engine, in *service*."""
         ms_clock = clock.Clock(reactor)
         ranks = reach.Reach(handler, lead_view, ms_clock, counters)
         lead = cls(ranks, lead_view, ms_clock, counters, service)
@@ -100,29 +100,29 @@
         return lead
 
     def take(self, document):
-        """Take the layers' shape from a newer document."""
+        """Take the shape of the experts and the promised gap from a newer document."""
         text = packed.unpack(document.body)
         self.shape, self.urgency.allowed_ms = config.parse_for_ranks(text, self.service)
 
     def take_counts(self, now, counts):
-        """Take in one reading of how often experts were chosen."""
+        """Add one reading of how often experts were chosen, at *now* (ms)."""
         self.window.add(now, counts, self.shape.sets if self.shape is not None else 1)
 
     @property
     def pass_ms(self):
-        """How long a pass takes now, in ms."""
+        """Estimated duration of a step, in ms."""
         if self.passes_per_s <= 0:
             return PASS_LIMIT_MS
         return min(PASS_LIMIT_MS, clock.MS_PER_SECOND / self.passes_per_s)
 
     def forget(self):
-        """The group broke, or this is not its lead any more."""
+        """Reset what is known of the group: it broke, or another agent leads it."""
         self.epoch = self.mapping = self.map_version = self.last_step = None
         self.passes_per_s = 0.0
         self.idle = False
 
     def measure_pace(self, step):
-        """Passes a second, from this turn's step and an earlier one."""
+        """Update the steps per second from the number *step* and an earlier one."""
         now = self.clock.now()
         if self.last_step is not None:
             then, before = self.last_step
@@ -136,7 +136,7 @@
 
 @defer.inlineCallbacks
 def turn(lead):
-    """One reading, and a switch if it is worth it; the pause that follows."""
+    """Run one iteration; a Deferred of the delay until the next, in ms."""
     own = yield lead.reach.handler.engine.state()
     tell_standing(lead, own)
     if own.rank > switch.DEPUTY:
@@ -156,7 +156,7 @@
 
 
 def tell_standing(lead, own):
-    """Have entries hear at once when the group broke or opened."""
+    """Notify the listeners at once when the group broke or opened."""
     standing = own.epoch, own.open
     if standing != lead.standing:
         lead.standing = standing
@@ -167,7 +167,7 @@
 
 @defer.inlineCallbacks
 def lead_turn(lead, own):
-    """The lead's own turn; *own* is its rank's state."""
+    """Run the leader's iteration; *own* is its rank's state."""
     if own.epoch != lead.epoch:
         lead.forget()
         lead.reach.forget()
@@ -192,14 +192,14 @@
 
 @defer.inlineCallbacks
 def deputise(lead, own):
-    """Lift a hold that a lead which reads nobody any more left behind.
+    """Lift a hold left behind by a leader that no longer queries any rank.
 
-    Without this the group stands until the lead's machine is back. The lead
-    reads every rank several times a second, also while it switches.
+    Otherwise the group stalls until the leader's machine is back. A working leader
+    queries every rank several times a second, also while it switches.
     """
     looks = gather.Question()
     if own.epoch != lead.epoch:
-        # The ranks' agents are learned while the lead is there to be found.
+        # The ranks' agents must be known before the leader becomes unreachable.
         lead.forget()
         lead.epoch = own.epoch
         lead.reach.forget()
@@ -224,7 +224,7 @@
 
 
 def learn_mapping(lead, states):
-    """Whether the map in force is known; takes it from the ranks' lists."""
+    """Set the map in force from the ranks' lists; whether it is known."""
     versions = {s.map_version for s in states.values()}
     if len(versions) != 1:
         lead.counters.incr("turn.maps_differ")
@@ -250,7 +250,7 @@
 
 @defer.inlineCallbacks
 def consider(lead, group, states):
-    """Switch to a better map if it saves enough."""
+    """Plan a map, and switch to it if it saves enough."""
     shape = lead.shape
     if shape is None or any(s.armed for s in states.values()):
         return
@@ -298,7 +298,7 @@
 
 
 def run(reactor, lead):
-    """Take turns until the reactor stops."""
+    """Run the control loop until the reactor stops."""
     lead.view.wait_ms = FOLLOW_WAIT_MS
     lead.view.min_body_interval_ms = BODY_PAUSE_MS
 
--- a/dunlinpoint/experts/messages.py
+++ b/dunlinpoint/experts/messages.py
@@ -1,11 +1,11 @@
-"""What is said of ranks, apart from the HTTP client that asks them."""
+"""Wire messages about ranks, independent of the HTTP client of the engine."""
 
 from dunlinpoint.wire.gen.dunlin import ttypes
 
-# The kind of member that a rank's agent announces itself as.
+# Member kind under which a rank's agent announces itself.
 KIND = "rank"
 
 
 def state_message(group, standing, experts=None):
-    """A ``RankState`` from parts: *group* and *standing* as keyword dicts."""
+    """Return a ``RankState``; *group* and *standing* are dicts of its fields."""
     return ttypes.RankState(**group, **standing, experts=experts)
--- a/dunlinpoint/experts/orders.py
+++ b/dunlinpoint/experts/orders.py
@@ -1,14 +1,14 @@
-"""Orders as they travel to other ranks' agents: compressed, against the one before.
+"""Engine commands as sent between agents: compressed with an earlier one as dictionary.
 
 A map of 72 ranks and 12 sets is 9 KB and 3.4 KB compressed; sent to all ranks it takes
-half a second of its sender's link (4 Mbit/s), in which every pass is as long as the old
-map makes it. Most of a map is as it was in the one before, which both ends have: with
-that as the dictionary of the compression, 1.1 to 1.4 KB travel for 200 to 250 experts
+half a second of its sender's link (4 Mbit/s), during which every step is still as long
+as the old map makes it. Most of a map equals the one before, which both ends have. With
+that one as the compression dictionary, 1.1 to 1.4 KB are sent for 200 to 250 experts
 that moved.
 
-Each end keeps the last texts by their checksum. A receiver that lacks the one that a
-message needs (it has restarted) says so, and is sent the whole; the compression itself
-checks that it is the same to the letter.
+Each end keeps the last texts by their checksum. A receiver that lacks the base of a
+message (because it has restarted) says so and is sent the full text. The compression
+itself verifies that both ends use the same dictionary.
 """
 
 import json
@@ -16,25 +16,25 @@
 
 import attrs
 
-# Operations of the change of map.
+# Operations of a change of map.
 PREPARE = "prepare"
 ARM = "arm"
 DISARM = "disarm"
 HOLD = "retention"
 GO = "go"
 
-# The base of a message that needs none.
+# Base of a message that is compressed without one.
 NO_BASE = 0
-# A receiver that missed a map or two still has one that the sender has.
+# Number of texts kept: a receiver that missed a map or two still shares a base.
 KEPT = 3
-# Shorter texts (bytes) are no base: orders to arm come between two maps, and a map
-# has nothing in common with them.
+# Minimum length (bytes) of a base. Commands to arm are sent between two maps and are
+# shorter; a map has nothing in common with them.
 LEAST_BASE = 400
 
 
 @attrs.frozen
 class Order:
-    """One order, and its *text* as an engine takes it."""
+    """One engine command; *text* is its JSON body."""
 
     operation: str
     version: int
@@ -43,18 +43,18 @@
 
     @classmethod
     def from_body(cls, body):
-        """The order that *body* (a dict of the engine's words) is."""
+        """The command of *body*, a dict of the engine's field names."""
         text = json.dumps(body, separators=(",", ":"))
         return cls(body["operation"], body.get("version", 0), body["epoch"], text)
 
 
 def checksum(text):
-    """What names *text* (``int``, never :data:`NO_BASE`)."""
+    """Return the identifier of *text* (``int``, never :data:`NO_BASE`)."""
     return zlib.crc32(text.encode()) or 1
 
 
 def pack(text, base=""):
-    """*text* compressed, with *base* as what the receiver has already."""
+    """Compress *text* with *base*, a text that the receiver has, as the dictionary."""
     if not base:
         return zlib.compress(text.encode())
     packer = zlib.compressobj(zdict=base.encode())
@@ -62,7 +62,7 @@
 
 
 def unpack(packed, base=""):
-    """The text of :func:`pack`'s bytes; raises ``zlib.error`` with another *base*."""
+    """Decode the bytes of :func:`pack`; raises ``zlib.error`` for another *base*."""
     if not base:
         return zlib.decompress(packed).decode()
     unpacker = zlib.decompressobj(zdict=base.encode())
@@ -71,12 +71,12 @@
 
 @attrs.define
 class Texts:
-    """The last texts by checksum."""
+    """The last ``KEPT`` texts by checksum."""
 
     text_by_checksum: dict = attrs.field(factory=dict)
 
     def keep(self, text):
-        """*text* is known from now on; its checksum, or ``NO_BASE`` if it is short."""
+        """Add *text*; return its checksum, or ``NO_BASE`` if it is too short."""
         if len(text) < LEAST_BASE:
             return NO_BASE
         found = checksum(text)
@@ -87,13 +87,13 @@
         return found
 
     def get(self, base):
-        """The text that *base* names; ``""`` for none, ``None`` if it is not known."""
+        """Return the text of *base*: ``""`` for ``NO_BASE``, ``None`` if unknown."""
         return "" if base == NO_BASE else self.text_by_checksum.get(base)
 
 
 @attrs.define
 class Sender:
-    """What is known of the texts that other ranks' agents have."""
+    """Compresses texts for other ranks' agents, and tracks which bases they have."""
 
     texts: Texts = attrs.field(factory=Texts)
     base_by_peer: dict = attrs.field(factory=dict)
@@ -101,7 +101,7 @@
     text: str = ""
 
     def pack(self, peer, text):
-        """The base and the bytes of *text* for the agent at *peer*."""
+        """Return the base and the bytes of *text* for the agent at *peer*."""
         if text != self.text:
             self.text, self.packed_by_base = text, {}
         base = self.base_by_peer.get(peer, NO_BASE)
@@ -113,11 +113,11 @@
         return base, self.packed_by_base[base]
 
     def taken(self, peer, text):
-        """The agent at *peer* has *text* now."""
+        """Record that the agent at *peer* has *text*."""
         kept = self.texts.keep(text)
         if kept != NO_BASE:
             self.base_by_peer[peer] = kept
 
     def forget(self, peer):
-        """The agent at *peer* lacks the base that it was thought to have."""
+        """Record that the agent at *peer* lacks the base assumed for it."""
         self.base_by_peer.pop(peer, None)
--- a/dunlinpoint/experts/placement.py
+++ b/dunlinpoint/experts/placement.py
@@ -1,31 +1,31 @@
-"""Maps of experts to ranks, the load they put on each, and better ones.
-
-A map is a list by set of lists by rank of expert numbers. Experts held by
-several ranks share their tokens evenly. Ranks advance in lock-step, so a
-step costs, set by set, what the most loaded rank costs: the measure here is
-the sum over sets of the highest load (:func:`step_load`).
-
-:func:`improve` starts from the map in force and only adds, drops or moves
-single experts where that lowers the highest load. A map made from scratch
-would be a little more even and would move almost every expert, each of
-which is copied while steps run longer.
-
-A map is in force only once its slowest rank has copied what is new to it, and
-what is popular may be other experts by then. So a change is kept small at
-every rank (:class:`RankCapacity`), and the sets that gain most come first; the next
-change follows at once where more is to be gained.
+"""Maps of experts to ranks, the load that they put on ranks, and improved maps.
+
+A map is a list by set of lists by rank of expert numbers. Ranks that hold the same
+expert share its tokens evenly. Ranks advance in lock-step, so in each set a step costs
+what the most loaded rank costs: the cost measure is the sum over sets of the highest
+load (:func:`step_load`).
+
+:func:`improve` starts from the map in force and only adds, drops or moves single
+experts where that lowers the highest load. A map made from scratch would be slightly
+more even, but would move almost every expert, and steps take longer while experts are
+copied.
+
+A map is in force only once the slowest rank has copied its new experts, and by then
+other experts may be popular. Each change is therefore kept small at every rank
+(:class:`RankCapacity`) and starts with the sets that gain most. If more can be gained, the next
+change follows at once.
 """
 
 import attrs
 
-# The least part of the highest load that one more copy must save.
+# Minimum reduction of the highest load by one more copy, as a share of that load.
 LEAST_STEP_GAIN = 0.02
-# How many of the most loaded rank's experts are looked at for each change.
+# Number of experts of the most loaded rank that are considered for each change.
 CANDIDATES = 8
 
 
 def round_robin(sets, experts, ranks):
-    """The map that assigns experts to ranks in turn."""
+    """Return the map that assigns experts to ranks in round-robin order."""
     return [
         [list(range(rank, experts, ranks)) for rank in range(ranks)]
         for _ in range(sets)
@@ -34,10 +34,10 @@
 
 @attrs.frozen
 class RankCapacity:
-    """What the ranks of a group can take.
+    """Limits per rank for one change of map.
 
-    *places* is how many experts of a set a rank holds, *spare* how many that
-    are new to it of one set, and *new* how many over all sets, in one change.
+    *places* is how many experts of a set a rank can hold, *spare* how many new experts
+    of one set it may copy, and *new* how many over all sets.
     """
 
     places: int
@@ -46,7 +46,7 @@
 
 
 def set_loads(holders, counts):
-    """Load by rank of one set, from *counts* by expert."""
+    """Return the load by rank of one set, from *counts* by expert."""
     copies = [0] * len(counts)
     for held in holders:
         for expert in held:
@@ -55,7 +55,7 @@
 
 
 def step_load(mapping, counts):
-    """The sum over sets of the highest load; *counts* by set and expert."""
+    """Return the sum over sets of the highest load; *counts* is by set and expert."""
     return sum(
         max(set_loads(holders, chosen))
         for holders, chosen in zip(mapping, counts, strict=True)
@@ -63,12 +63,12 @@
 
 
 def even_load(counts, ranks):
-    """What :func:`step_load` would be if every rank had the same load."""
+    """Return what :func:`step_load` would be if every rank had the same load."""
     return sum(sum(chosen) / ranks for chosen in counts)
 
 
 def moved(old, new):
-    """How many experts are new to their rank, over all sets."""
+    """Return how many experts are new to their rank, over all sets."""
     return sum(
         len(set(after) - set(before))
         for old_set, new_set in zip(old, new, strict=True)
@@ -77,7 +77,7 @@
 
 
 def largest_part(old, new):
-    """How many experts are new to the rank that most are new to."""
+    """Return the largest number of experts that are new to one rank."""
     ranks = range(len(old[0]))
     return max(
         sum(
@@ -90,11 +90,11 @@
 
 @attrs.define
 class Change:
-    """One expert more at rank ``to``, and what makes room for it.
+    """Addition of one expert to rank ``to``, replacing expert ``drop`` if not ``None``.
 
-    ``highest`` is the higher load of the two ranks afterwards, ``saved`` how
-    much less that is than the highest load before. Where ``leaves``, the
-    expert is dropped from rank ``top``.
+    ``highest`` is the higher load of the two ranks after the change, ``saved`` how much
+    lower that is than the highest load before. If ``leaves``, the expert is removed
+    from rank ``top``.
     """
 
     highest: float
@@ -108,7 +108,7 @@
 
 @attrs.define
 class SetPlan:
-    """One set's holders while they are improved."""
+    """Holders of one set's experts while they are improved."""
 
     holders: list
     counts: list
@@ -121,10 +121,10 @@
 
     @classmethod
     def from_holders(cls, holders, counts, room, new_by_rank):
-        """A plan that starts from *holders* (lists by rank).
+        """A plan that starts from *holders* (lists of experts by rank).
 
-        *new_by_rank* is shared by the plans of all sets: how many experts each
-        rank is to copy.
+        *new_by_rank*, the number of experts that each rank has to copy, is shared by
+        the plans of all sets.
         """
         ranks_by_expert = [set() for _ in counts]
         for rank, held in enumerate(holders):
@@ -142,7 +142,7 @@
         )
 
     def share(self, expert):
-        """The tokens that each holder of *expert* gets."""
+        """Return the tokens that each holder of *expert* gets."""
         return self.counts[expert] / self.copies[expert]
 
     def is_new(self, rank, expert):
@@ -159,12 +159,12 @@
         return len(self.holders[rank] - self.before[rank]) < self.room.spare
 
     def _spare_copy(self, rank, expert):
-        """An expert that *rank* can drop for *expert*, or ``None``."""
+        """Return an expert that *rank* can drop for *expert*, or ``None``."""
         extra = [x for x in self.holders[rank] if self.copies[x] > 1 and x != expert]
         return min(extra, key=self.share, default=None)
 
     def _options(self, top, expert, by_load):
-        """Changes that take load of *expert* off the most loaded rank."""
+        """Yield changes that take load of *expert* off the most loaded rank."""
         count, copies = self.counts[expert], self.copies[expert]
         for to in by_load:
             if to == top or not self._may_take(to, expert):
@@ -185,7 +185,7 @@
             return
 
     def best_change(self):
-        """The change that lowers the highest load most, or ``None``."""
+        """Return the change that lowers the highest load most, or ``None``."""
         by_load = sorted(range(len(self.load)), key=self.load.__getitem__)
         top = by_load[-1]
         heavy = sorted(self.holders[top], key=self.share, reverse=True)[:CANDIDATES]
@@ -197,7 +197,7 @@
         return best
 
     def apply(self, change):
-        """Carry out *change* on the plan."""
+        """Apply *change* to the plan."""
         if self.is_new(change.to, change.expert):
             self.new_by_rank[change.to] += 1
         if change.drop is not None:
@@ -206,8 +206,9 @@
             self._lose(change.top, change.expert)
         self._gain(change.to, change.expert)
 
-    # Only the holders of the expert that changes its copies have another load then:
-    # added up anew for all 72 ranks of a set, loads took half of a plan's 25 ms.
+    # Loads are updated incrementally, as only the holders of the changed expert are
+    # affected. Recomputing them for all 72 ranks of a set took half of the 25 ms that a
+    # plan takes.
 
     def _gain(self, rank, expert):
         self._weigh(expert, -1)
@@ -224,7 +225,7 @@
         self._weigh(expert, 1)
 
     def _weigh(self, expert, sign):
-        """Count *expert*'s share in (1) or out of (-1) its holders' loads."""
+        """Add (1) or subtract (-1) *expert*'s share in its holders' loads."""
         if not self.copies[expert]:
             return
         share = sign * self.share(expert)
@@ -233,10 +234,10 @@
 
 
 def improve(mapping, counts, room):
-    """A better map than *mapping* for *counts* by set and expert, within *room*.
+    """Return a better map than *mapping* for *counts*, within the limits *room*.
 
-    Of all sets, the change that saves most comes first: what a rank may copy
-    is used where it shortens a step most.
+    *counts* is by set and expert. Of all sets, the change that saves most is applied
+    first, so that a rank's copies are used where they shorten a step most.
     """
     ranks = len(mapping[0])
     new_by_rank = [0] * ranks
--- a/dunlinpoint/experts/rank.py
+++ b/dunlinpoint/experts/rank.py
@@ -1,4 +1,4 @@
-"""What a rank's agent answers the other ranks' agents, and announces of its rank."""
+"""The service that a rank's agent offers other agents, and the rank's announcements."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 log = logs.logger("experts")
 
-# A rank's agent takes the document from its view, if it leads.
+# Heartbeats ask for no document: an agent that leads gets it through its view.
 NO_DOCUMENT_WANTED = 1 << 62
 
 
@@ -25,8 +25,8 @@
 class Handler:
     """Thrift methods of the ``Rank`` service.
 
-    ``read_ms`` is when a lead last asked. While *fenced*, leads are refused: the
-    deputy finishes for them.
+    ``read_ms`` is the time of the last query from a leader. While *fenced*, queries
+    from leaders are refused, because the standby leader has taken over.
     """
 
     engine: engines.Engine
@@ -40,7 +40,7 @@
 
     @classmethod
     def from_config(cls, reactor, engine):
-        """The handler of the agent beside *engine*."""
+        """The handler of the agent on the host of *engine*."""
         ms_clock = clock.Clock(reactor)
         asker = gather.Asker.from_config(reactor)
         return cls(engine, ms_clock, asker, dispatcher.Giver(engine, ms_clock))
@@ -72,7 +72,7 @@
         return ttypes.Gathered(answers=found.answers, counts=found.packed_counts())
 
     def receive(self, question):
-        """The order of *question*, or ``None`` if its base is not known."""
+        """Decode the command of *question*; ``None`` if its base is not known."""
         known = self.texts.get(question.base)
         if known is None:
             return None
@@ -86,9 +86,9 @@
 
     @defer.inlineCallbacks
     def own(self, asked):
-        """This rank's part of what is *asked*, as ``Gathered``; raises ``RankError``.
+        """A Deferred of this rank's ``Gathered`` for *asked*; fails with ``RankError``.
 
-        How the rank stands is read after the order was given.
+        The rank's state is read after the command was sent.
         """
         status = 0
         if asked.order is not None:
@@ -105,7 +105,7 @@
 
 @attrs.frozen
 class Address:
-    """Where a rank's agent is found by the others."""
+    """Zone and address at which other agents reach a rank's agent."""
 
     zone: str
     host: str
@@ -113,7 +113,7 @@
 
 
 def serve(reactor, engine, address):
-    """Answer the other ranks' agents; the ``Handler`` that does."""
+    """Serve other ranks' agents at *address*; return the ``Handler``."""
     handler = Handler.from_config(reactor, engine)
     rpc.serve(reactor, Rank.Processor(handler), address.port, address.host)
     return handler
@@ -121,7 +121,7 @@
 
 @defer.inlineCallbacks
 def announce_once(engine, announcer, address):
-    """Tell control which group the rank belongs to, while it belongs to one."""
+    """Announce the rank's group to control, if the rank belongs to one."""
     try:
         state = yield engine.state()
     except engines.RankError:
@@ -131,7 +131,7 @@
 
 
 def announce_state(engine, announcer, address, state):
-    """Tell control how the rank's group stands, from its *state*."""
+    """Announce the group's state, from the rank's *state*, to control."""
     beat = ttypes.Heartbeat(
         endpoint_id=f"{messages.KIND}-{address.host}",
         zone=address.zone,
@@ -151,7 +151,7 @@
 
 
 def announce(reactor, engine, announcer, address, every_ms):
-    """Announce the rank every *every_ms* until the reactor stops."""
+    """Announce the rank every *every_ms* until the reactor stops; return the loop."""
     loop = task.LoopingCall(announce_once, engine, announcer, address)
     loop.clock = reactor
     loop.start(clock.seconds(every_ms))
--- a/dunlinpoint/experts/reach.py
+++ b/dunlinpoint/experts/reach.py
@@ -1,4 +1,4 @@
-"""The ranks of a group as its lead and its deputy reach them."""
+"""The ranks of a group as its leader and its standby leader reach them."""
 
 import json
 
@@ -21,28 +21,29 @@
 
 log = logs.logger("experts")
 
-# How long ranks are waited for: where counts or experts are read, and while a map is
-# switched, by the lead and by the deputy: one that is out of reach must not keep the
-# others waiting.
+# How long ranks are waited for, when counts or experts are read and during a change of
+# map, by the leader and its standby: an unreachable rank must not delay the others.
 READ_TIMEOUT_MS = 500
 SWITCH_TIMEOUT_MS = 250
-# An agent that did not answer is passed by for so long, and its rank's engine called
-# directly: it answers as well, with a report some hundred ms old. Asked each time, an
-# agent that is frozen costs each round its timeout.
+# For how long an agent that did not answer is bypassed and its rank's engine called
+# directly. The engine answers as well, with a report some hundred ms old, whereas
+# asking a frozen agent each time would cost each round its timeout.
 SILENT_MS = 1000
-# So many agents that are silent at once have not failed each for itself: this one was
-# busy, or a zone is cut off. Calling all their engines took a lead 2 s.
+# If more agents than this are unresponsive at once, they have not failed one by one:
+# this agent was busy, or a zone is unreachable. Calling all their engines took a leader
+# 2 s.
 MOST_SILENT = 8
-# Readings of counts closer to each other than this are taken as one: a pass takes as
-# long, and a reading without one tells nothing of what is chosen.
+# Readings of counts less than this far apart are merged. A step takes about as long,
+# and a reading that covers no step contains no choices.
 READING_MS = 80
 
 
 @attrs.define
 class Reach:
-    """Ranks by number, once they have answered, and what was heard of them.
+    """Client of the ranks of a group, by number once they have answered.
 
-    ``on_counts(now, counts)`` takes each reading of the counts, summed over the ranks.
+    ``on_counts(now, counts)`` is called with each reading of the counts, summed over
+    the ranks.
     """
 
     handler: rank.Handler
@@ -61,24 +62,25 @@
         self.unanswered = dispatcher.Unanswered(self.clock)
 
     def forget(self):
-        """Another epoch began: ranks may be others."""
+        """Forget the ranks' agents, which may be others after a change of epoch."""
         self.member_by_rank = {}
         self.silent_ms_by_rank = {}
 
     def agents(self, group):
-        """Agents of *group*'s ranks."""
+        """Return the members that are agents of *group*'s ranks."""
         return [m for m in self.view.live(messages.KIND) if m.group == group]
 
     @defer.inlineCallbacks
     def read(self, group, own_rank, question):
-        """``RankAnswer`` by rank of those of *group* that answer *question*."""
+        """A Deferred of ``RankAnswer`` by rank of *group*, for ranks that answer."""
         members = self.agents(group)
         known = {peer_of(m): n for n, m in self.member_by_rank.items()}
         strangers = [p for p in map(peer_of, members) if p not in known]
         numbers = sorted(known.values())
         asking = [self.ask(numbers, own_rank, question, READ_TIMEOUT_MS)]
         if strangers:
-            # One whose rank is not known may be the holder, and gathers for nobody.
+            # An agent whose rank is unknown may be the holder, so it is asked directly
+            # and is not used as an aggregator.
             asking.append(self._ask_strangers(strangers, question))
         answers = {}
         for found in (yield defer.gatherResults(asking)):
@@ -94,7 +96,7 @@
 
     @defer.inlineCallbacks
     def ask(self, numbers, own_rank, question, timeout_ms):
-        """``RankAnswer`` by rank of those of *numbers* that answer."""
+        """A Deferred of ``RankAnswer`` by rank, for those of *numbers* that answer."""
         now = self.clock.now()
         agents = [n for n in numbers if self.silent_ms_by_rank.get(n, 0) <= now]
         peers = {peer_of(self.member_by_rank[n]): n for n in agents if n != own_rank}
@@ -119,9 +121,10 @@
 
     @defer.inlineCallbacks
     def _ask_engine(self, number, question):
-        """The ``RankAnswer`` of a rank's engine, past its agent, or ``None``.
+        """A Deferred of a ``RankAnswer`` from a rank's engine, or of ``None``.
 
-        The holder's is never asked for this way: its agent's silence has a meaning.
+        This bypasses the rank's agent. It is never used for the holder, whose agent
+        stops answering to signal that the standby leader has taken over.
         """
         called = self.handler.engine.at(self.member_by_rank[number].engine)
         self.counters.incr("ask.past_agent")
@@ -163,10 +166,10 @@
 
     @defer.inlineCallbacks
     def give_direct(self, number, own_rank, body):
-        """Give an order to a rank's engine past its agent; a status, or 0.
+        """Send a command to a rank's engine past its agent; a status, or 0.
 
-        A machine that froze while it passed on the order to hold the group would
-        take the hold with it, out of the deputy's reach.
+        If a command to hold the group went through an agent whose machine froze, the
+        hold could take effect later, out of the standby leader's reach.
         """
         self.counters.incr(f"order.{body['operation']}")
         called = self.handler.engine
@@ -182,7 +185,7 @@
         return dispatcher.best(statuses)
 
     def group(self, size, own_rank):
-        """The ranks as :mod:`switch` wants them, for the agent of *own_rank*."""
+        """Return a ``switch.Group`` of the ranks, for the agent of *own_rank*."""
         leading = own_rank == switch.LEAD
 
         @defer.inlineCallbacks
@@ -214,7 +217,7 @@
         )
 
     def mapping_of(self, version):
-        """The map *version* as this agent was given it, or ``None``."""
+        """Return the map *version* that this agent last prepared, or ``None``."""
         order = self.handler.giver.prepared
         if order is None or order.version != version:
             return None
@@ -222,5 +225,5 @@
 
 
 def peer_of(member):
-    """Where *member*'s agent answers."""
+    """Return the ``Peer`` of *member*'s agent."""
     return gather.Peer(member.host, member.port, member.zone)
--- a/dunlinpoint/experts/switch.py
+++ b/dunlinpoint/experts/switch.py
@@ -1,35 +1,35 @@
-"""The change of map: every rank at one step, or none.
+"""The change of map: every rank at the same step, or none.
 
-Ranks do not compare maps: if one switches at a step and another does not,
-the step mixes two maps and every answer of it is wrong. Orders can be lost,
-answered late, or carried out seconds after they were given. The order of
-things below makes each of those harmless:
+Ranks do not compare maps. If one switches at a step and another does not, the step
+mixes two maps and every result of it is wrong. Commands can be lost, answered late, or
+executed seconds after they were sent. The following sequence makes each of those
+harmless:
 
 1. *Prepare* the new map at every rank and wait until each holds it.
-2. *Hold* the group before a step some way ahead, at the deputy's rank, and
-   see in its report that the hold is there. From now on that step does not
-   begin by itself.
-3. *Arm* every rank but the lead's for that step, again until each one's
-   report shows it; then the lead's own.
+2. *Hold* the group before a step some way ahead, at the rank of the standby leader, and
+   verify the hold in that rank's report. From then on the step does not begin by
+   itself.
+3. *Arm* every rank but the leader's for that step, repeatedly until each one's report
+   shows it; then the leader's own.
 4. *Go*, which lets the step begin with all ranks armed.
 
-Where a rank refuses to be armed, all are disarmed, and hold another map in place of
-the one that was to come (:func:`withdraw`). An order to arm that is still on its way,
-for seconds even, then names a map that is not prepared, and is refused. Only then is
-the hold lifted.
-
-A lead can freeze or die anywhere in between, and its rank's report may be
-out of reach with it. That is why the hold stands at another rank, whose
-agent is the deputy, and why the lead's own rank is armed last: as long as
-any other rank is not armed, the lead's is not either. The deputy first
-stops answering the lead, which then cannot see all armed any more, and only
-then looks (:func:`resolve`). Only where all others are armed, a matter of
-milliseconds, must it wait for the lead's rank to be in reach.
-
-Orders to prepare, arm and disarm may travel by way of other ranks' agents, which can
-freeze with them and pass them on seconds later (:mod:`gather`); for the reason just
-given that is harmless. The holder alone is asked by nobody else, as its silence tells
-the lead to stop, and the hold is put and lifted at its engine.
+If a rank refuses to be armed, all ranks are disarmed and prepare another map in place
+of the new one (:func:`withdraw`). A command to arm that is still in transit, even for
+seconds, then names a map that is not prepared, and is refused. Only then is the hold
+lifted.
+
+A leader can freeze or die at any point, and its rank's report may become unreachable
+with it. Therefore the hold is placed at another rank, whose agent is the standby
+leader, and the leader's own rank is armed last: as long as any other rank is not armed,
+the leader's is not either. The standby first stops answering the leader, which then can
+no longer see all ranks armed, and only then reads the ranks' states (:func:`resolve`).
+Only if all others are armed, a matter of milliseconds, must it wait until the leader's
+rank is reachable.
+
+Commands to prepare, arm and disarm may be forwarded by other ranks' agents, which can
+freeze with them and forward them seconds later (:mod:`gather`). For the reason above
+that is harmless. Only the holder is always asked directly, as its silence tells the
+leader to stop, and the hold is placed and lifted directly at its engine.
 """
 
 import attrs
@@ -40,20 +40,20 @@
 
 log = logs.logger("experts")
 
-# How far ahead of the group's step the switch is set, in ms of passes: while
-# ranks answer, and while orders go unanswered. A step reached before every
-# rank is armed stands still, and with it every answer of the group; a step far
-# ahead leaves the group with the old map for as long. Holding and arming takes
-# 50 to 100 ms where all answer, and 150 ms more where one does not in time.
+# How far ahead of the group's current step the switch is set, in ms of steps: while
+# ranks answer, and while commands go unanswered. A step reached before every rank is
+# armed stalls, and with it every stream of the group; a step far ahead leaves the group
+# with the old map for as long. Holding and arming takes 50 to 100 ms if all ranks
+# answer, and 150 ms more if one does not answer in time.
 AHEAD_MS = 300
 AHEAD_UNANSWERED_MS = 1500
 LEAST_AHEAD = 3
-# The same for a change in a hurry: while passes are so long that streams are late by
-# them, waiting for the switch costs more than a short stand at the hold would. It goes
-# by how long ranks lately took to be armed, this many times the longest, and by the
-# figures above until some changes have shown that. It is set to the next pass where
-# that is shorter than one: with passes of 150 to 190 ms until the map is in force, a
-# pass more costs more than a short stand at the hold now and then.
+# The same for an urgent change. While steps are so long that streams miss their latency
+# target, waiting for the switch costs more than a short stall at the hold would. The
+# distance is this multiple of the longest of the recent arming times, and the one above
+# until enough changes have been timed. It is one step where the distance is shorter
+# than a step: with steps of 150 to 190 ms until the map is in force, one more step
+# costs more than an occasional short stall at the hold.
 HURRY_TIMES = 2.0
 HURRY_LEAST_MS = 100
 HURRY_LEAST_AHEAD = 1
@@ -61,32 +61,32 @@
 POLL_MS = 30
 COPY_TIMEOUT_MS = 4000
 HOLD_TRIES = 3
-# How long ranks are waited for that are to hold another map in place of one that is
-# withdrawn. Copies take 0.2 s at most; an engine that takes no such order must not hold
-# the group for good.
+# How long to wait for ranks to prepare another map in place of a withdrawn one. Copies
+# take 0.2 s at most; an engine that refuses such a command must not hold the group
+# forever.
 WITHDRAW_MS = 1000
-# How long ago the holder may have been seen when ranks are armed: well below the
-# time after which a deputy takes a silent lead for dead (600 ms), less that of an
-# order on its way.
+# Maximum age of the holder's last answer when ranks are armed: well below the time
+# after which a standby takes over from a silent leader (600 ms), less the transit time
+# of a command.
 SEEN_MS = 400
 LEAD = 0
 DEPUTY = 1
 
 
 class SwitchError(Exception):
-    """A change of map was given up; the map in force stays."""
+    """A change of map was abandoned; the map in force stays."""
 
 
 class EpochEnded(SwitchError):
-    """The group broke: whatever was prepared, armed or held is gone."""
+    """The group broke, so that nothing is prepared, armed or held any more."""
 
 
 @attrs.define
 class Plan:
     """One change of map: its *version*, *mapping* and the group's *epoch*.
 
-    *copy_ms* is how long ranks are expected to copy for it, and *hurry* whether it
-    is wanted at once.
+    *copy_ms* is how long ranks are expected to copy experts for it. *hurry* marks the
+    change as urgent.
     """
 
     version: int
@@ -98,20 +98,21 @@
 
 @attrs.define
 class Arming:
-    """How long it lately took from holding a group to all ranks being armed."""
+    """Durations (ms) of recent changes, from holding the group to all ranks armed."""
 
     took_ms: list = attrs.field(factory=list)
 
     def took(self, ms):
-        """One more change of map came to that."""
+        """Add the duration of one more change of map."""
         self.took_ms.append(ms)
         del self.took_ms[:-ARMINGS]
 
     def hurry_ms(self):
-        """How far ahead a change in a hurry is set, as a careful one if nothing tells.
+        """Return how far ahead to set an urgent change, in ms.
 
-        Never farther than a careful one: a lead that froze while it armed ranks took
-        seconds for it, and set its next changes of map as many seconds ahead.
+        This is the distance of a normal change until enough durations are known, and
+        never more than that: a leader that froze while it armed ranks took seconds for
+        it, and would set its next changes as many seconds ahead.
         """
         if len(self.took_ms) < ARMINGS:
             return AHEAD_MS
@@ -121,15 +122,16 @@
 
 @attrs.define
 class Group:
-    """The ranks as the lead reaches them.
-
-    ``ask(ranks, dict)`` has the agents of *ranks* give an order, or none, to their
-    engines and gives a Deferred of ``RankAnswer`` by rank of those that answered, as
-    they stood after it; ``order(rank, dict)`` gives one to an engine directly, a
-    Deferred of its status or 0; ``sleep(ms)`` gives one that fires later.
-    ``mapping_of(version)`` is the map that was to come, ``None`` if it is not known;
-    ``orders_get_lost()`` tells whether orders went unanswered lately, ``now()`` the
-    time in ms, and ``seen_ms`` is when the holder was last asked and answered.
+    """The ranks as the leader reaches them.
+
+    ``ask(ranks, dict)`` sends a command, or none, to the engines of *ranks* through
+    their agents; a Deferred of ``RankAnswer`` by rank of those that answered, with
+    their state after the command. ``order(rank, dict)`` sends a command to one engine
+    directly; a Deferred of its status or 0. ``sleep(ms)`` is a Deferred that fires
+    after that time. ``mapping_of(version)`` returns the map prepared as *version*,
+    or ``None`` if it is not known. ``orders_get_lost()`` tells whether commands went
+    unanswered recently, ``now()`` is the time in ms, and ``seen_ms`` is when the last
+    query that the holder answered was sent.
     """
 
     size: int
@@ -144,7 +146,7 @@
 
     @property
     def holder(self):
-        """The rank at which the group is held: the deputy's."""
+        """The rank at which the group is held: the standby leader's."""
         return min(DEPUTY, self.size - 1)
 
     @property
@@ -154,14 +156,14 @@
 
     @property
     def others(self):
-        """Every rank but the lead's."""
+        """Every rank but the leader's."""
         return [rank for rank in range(self.size) if rank != LEAD]
 
     @defer.inlineCallbacks
     def see(self, ranks=(), order=None):
-        """Answers of *ranks*, given *order*, and of the holder in any case.
+        """Ask *ranks*, with the command *order*, and always the holder; their answers.
 
-        Notes when the holder was asked, if it answered.
+        Sets ``seen_ms`` to when the query was sent, if the holder answered.
         """
         asked_ms = self.now()
         asked = sorted({*ranks, self.holder})
@@ -171,19 +173,19 @@
         return answers
 
     def check_seen(self):
-        """Raise ``SwitchError`` unless the holder answered a moment ago.
+        """Raise ``SwitchError`` unless the holder answered recently.
 
-        A lead that froze, or waited long for another rank, may have been taken for
-        dead. What it arms then meets a deputy that has seen no rank armed and is
-        about to lift the hold: the step begins with some ranks armed, and mixes
-        two maps.
+        A leader that froze, or waited long for another rank, may have been declared
+        dead. A rank that it arms after that may be armed when the standby leader has
+        already seen none armed and is about to lift the hold: the step begins with some
+        ranks armed, and mixes two maps.
         """
         if self.seen_ms is None or self.now() - self.seen_ms > SEEN_MS:
-            raise SwitchError("the holder was not seen lately")
+            raise SwitchError("the last answer of the holder is too old")
 
 
 def states_of(answers, epoch):
-    """States by rank of *answers*; raises ``EpochEnded`` when one is past *epoch*."""
+    """Return states by rank; raises ``EpochEnded`` unless all are open in *epoch*."""
     states = {rank: answer.state for rank, answer in answers.items()}
     if any(s.epoch != epoch or not s.open for s in states.values()):
         raise EpochEnded("the group broke")
@@ -192,10 +194,10 @@
 
 @defer.inlineCallbacks
 def prepare(group, plan):
-    """Have every rank hold the new map; raises ``SwitchError``.
+    """Have every rank prepare the new map; raises ``SwitchError``.
 
-    An order left unanswered may be carried out late or never. Given again, it is
-    refused if it was carried out in the meantime, which harms nothing.
+    An unanswered command may be executed late or never. If it was executed in the
+    meantime, repeating it is refused, which is harmless.
     """
     order = {
         "operation": orders.PREPARE,
@@ -219,7 +221,7 @@
         if refused:
             raise SwitchError(f"prepare refused at ranks {refused}")
         if max(waited, group.now() - began_ms) >= COPY_TIMEOUT_MS:
-            raise SwitchError(f"ranks {late} did not hold the map in time")
+            raise SwitchError(f"ranks {late} did not prepare the map in time")
         yield group.sleep(pause_ms)
         waited += pause_ms
         pause_ms = POLL_MS
@@ -227,10 +229,10 @@
 
 @defer.inlineCallbacks
 def hold(group, plan, step, passes):
-    """Hold the group *passes* ahead of *step*; the step that does not begin.
+    """Hold the group *passes* steps after *step*; return the step that is held.
 
-    Raises ``SwitchError``. A group that has come to the step in the meantime is held
-    so many passes later: an order that is late for one step is refused.
+    Raises ``SwitchError``. If the group has reached the step in the meantime, it is
+    held as many steps later, because a hold before a step that has begun is refused.
     """
     holder, held = group.holder, step + passes
     for _ in range(HOLD_TRIES):
@@ -241,14 +243,14 @@
             return held
         if holder in states and states[holder].step >= held:
             held = states[holder].step + passes
-    # The order may still be carried out; the lead's loop lifts a hold that
-    # belongs to no switch.
+    # The command may still be executed; the leader's control loop lifts a hold that
+    # belongs to no change of map.
     raise SwitchError("the group could not be held")
 
 
 @defer.inlineCallbacks
 def arm(group, ranks, version, step, epoch):
-    """Arm *ranks* for *step*; ``True`` once all are, ``False`` if one won't."""
+    """Arm *ranks* for *step*; ``True`` once all are armed, ``False`` if one refuses."""
     order = {"operation": orders.ARM, "version": version, "step": step, "epoch": epoch}
     pending = set(ranks)
     while pending:
@@ -256,11 +258,11 @@
         answers = yield group.see(pending, order)
         states = states_of(answers, epoch)
         if group.holder not in states:
-            # The deputy may lift the hold at any moment. Whatever is armed is
-            # its to disarm, or the lead's next turn's once it sees it again.
-            raise SwitchError("the holder is out of reach")
+            # The standby leader may lift the hold at any moment. Ranks that are armed
+            # are disarmed by it, or by this leader once it reaches the holder again.
+            raise SwitchError("the holder is unreachable")
         if states[group.holder].held != step:
-            # A deputy took the lead for dead and lifted the hold.
+            # The standby declared the leader dead and lifted the hold.
             raise SwitchError("the hold was lifted")
         pending = {r for r in pending if r not in states or states[r].armed != version}
         if any(answers[r].status == dispatcher.REFUSED for r in pending if r in states):
@@ -272,12 +274,13 @@
 
 @defer.inlineCallbacks
 def withdraw(group, ranks, states, step, epoch):
-    """Disarm *ranks* for good, and lift the hold once the group stands at it.
+    """Disarm *ranks* for good, and lift the hold once the group has reached it.
 
-    A rank that was disarmed is armed again by an order that is carried out late. Seen
-    unarmed, it could still change its map alone while the order to go on is given and
-    given again. So each rank is to hold a newer map as well, with which it refuses
-    to be armed for the one before; the same experts, so that it has nothing to copy.
+    A command to arm that is executed late arms a disarmed rank again. Even a rank that
+    was seen disarmed could then change its map alone while the command to go on is sent
+    and repeated. Each rank therefore also prepares a newer map, after which it refuses
+    to be armed for the one before. The newer map has the same experts, so that nothing
+    has to be copied.
     """
     versions = versions_of(states)
     newest = versions[-1] if versions else 0
@@ -311,7 +314,7 @@
 
 @defer.inlineCallbacks
 def go(group, step, epoch):
-    """Lift the hold before *step*, and see that it is gone."""
+    """Lift the hold before *step*, and verify that it is lifted."""
     order = {"operation": orders.GO, "step": step, "epoch": epoch}
     while True:
         yield group.order(group.holder, order)
@@ -323,7 +326,7 @@
 
 
 def ahead(group, plan, passes_per_s):
-    """How many passes ahead the switch is set, enough to arm every rank."""
+    """Return how many steps ahead the switch is set, enough to arm every rank."""
     passes_per_ms = passes_per_s / clock.MS_PER_SECOND
     if group.orders_get_lost():
         return max(LEAST_AHEAD, int(passes_per_ms * AHEAD_UNANSWERED_MS))
@@ -335,7 +338,7 @@
 
 @defer.inlineCallbacks
 def run(group, plan, passes_per_s):
-    """Carry out *plan*; raises ``SwitchError`` with the old map in force."""
+    """Execute *plan*; raises ``SwitchError``, which leaves the old map in force."""
     states = yield prepare(group, plan)
     newest = max(state.step for state in states.values())
     passes = ahead(group, plan, passes_per_s)
@@ -346,21 +349,21 @@
         armed = yield arm(group, group.others, version, step, epoch)
         armed = armed and (yield arm(group, [LEAD], version, step, epoch))
     finally:
-        # One that was given up was set too little ahead, as far as is known.
+        # A change that was abandoned counts as set too little ahead.
         took_ms = group.now() - began_ms
         group.arming.took(took_ms if armed else max(took_ms, AHEAD_MS))
     if armed:
         yield go(group, step, epoch)
         return
     yield withdraw(group, group.ranks, states, step, epoch)
-    raise SwitchError("a rank would not be armed")
+    raise SwitchError("a rank refused to be armed")
 
 
 @defer.inlineCallbacks
 def resolve(group, states, epoch):
-    """Finish what a lead left held; ``False`` when that can't be done yet.
+    """Finish what a leader left held; ``False`` if that is not possible yet.
 
-    *states* must have been read after the lead was kept from seeing more.
+    *states* must have been read after the leader's queries were first refused.
     """
     step = states[group.holder].held
     missing = [rank for rank in range(group.size) if rank not in states]
@@ -378,7 +381,7 @@
 
 
 def versions_of(states):
-    """The maps that ranks of *states* may be armed for, now or by an order on its way.
+    """Return the map versions that ranks may be armed for, now or by a late command.
 
     A map can be armed wherever it is prepared and not in force yet.
     """
--- a/dunlinpoint/experts/tests/agents.py
+++ b/dunlinpoint/experts/tests/agents.py
@@ -1,7 +1,7 @@
-"""Ranks' agents on a simulated network, beside stand-ins for engines.
+"""Ranks' agents on a simulated network, next to simulated engines.
 
-Messages take time, an agent freezes with those that reach it and takes them in some
-order when it wakes, and one that dies is another when it is back.
+Messages take time. A frozen agent gets the messages that reach it in random order when
+it resumes, and a killed one restarts without its state.
 """
 
 import json
@@ -23,7 +23,7 @@
 
 @attrs.define
 class Engine:
-    """One rank's engine, as its agent calls it."""
+    """One rank's engine, with the interface that its agent calls."""
 
     ranks: standins.Ranks
     number: int
@@ -45,7 +45,7 @@
 
 
 def later(reactor, ms, action):
-    """A Deferred of what *action* returns *ms* from now."""
+    """Return a Deferred that fires with the result of *action* after *ms*."""
     fired = defer.Deferred()
     reactor.callLater(ms / 1000, lambda: fired.callback(action()))
     return fired
@@ -53,7 +53,7 @@
 
 @attrs.define(eq=False)
 class Network:
-    """Agents of all ranks of one group, by their port, which is their rank."""
+    """Agents of all ranks of one group, by port; the port is the rank."""
 
     ranks: standins.Ranks
     rng: random.Random
@@ -69,7 +69,7 @@
             self.start(number)
 
     def start(self, number):
-        """An agent starts (again), knowing nothing."""
+        """Start or restart an agent, without any state."""
         self.dead.discard(number)
         reactor, engine = self.ranks.clock, Engine(self.ranks, number)
         asker = gather.Asker(clocks.Clock(reactor), self)
@@ -81,7 +81,7 @@
         )
 
     def freeze(self, number, for_ms):
-        """The agent's machine is suspended, and takes all in when it wakes."""
+        """Suspend the agent's machine; on resuming it handles all its messages."""
         if number in self.inbox_by_frozen:
             return
         inbox = self.inbox_by_frozen[number] = []
@@ -95,16 +95,16 @@
         self.ranks.clock.callLater(for_ms / 1000, wake)
 
     def kill(self, number, back_ms):
-        """The agent's process dies, and is back later."""
+        """Kill the agent's process, and restart it after *back_ms*."""
         self.dead.add(number)
         self.ranks.clock.callLater(back_ms / 1000, self.start, number)
 
     def to(self, host, port):
-        """The link to the agent at *port*."""
+        """Return the connection to the agent at *port*."""
         return Link(self, port)
 
     def members(self):
-        """Members as the agents announce themselves."""
+        """Return the members as the agents announce themselves."""
         return [
             ttypes.Member(
                 endpoint_id=f"rank-{n}",
@@ -119,11 +119,11 @@
         ]
 
     def live(self, kind):
-        """As a ``View`` tells them."""
+        """Return the live members, like ``View``."""
         return self.members()
 
     def reach(self, number):
-        """How the agent of rank *number* reaches the group as its lead or deputy."""
+        """Return the ``Reach`` of the agent of rank *number*, as leader or standby."""
         ms_clock = clocks.Clock(self.ranks.clock)
         found = reach.Reach(
             self.handler_by_port[number], self, ms_clock, metrics.Counters(None)
@@ -181,7 +181,7 @@
 
 
 class Silent:
-    """A connection on which nothing is sent any more."""
+    """A connection that sends nothing any more."""
 
     def call(self, method, question, timeout_ms):
         return defer.Deferred()
@@ -189,7 +189,7 @@
 
 @attrs.define
 class Held:
-    """A connection whose messages leave *ms* later, as a machine that froze wakes."""
+    """A connection that sends messages *ms* late, like a machine that froze."""
 
     link: Link
     ms: int
--- a/dunlinpoint/experts/tests/demand.py
+++ b/dunlinpoint/experts/tests/demand.py
@@ -1,13 +1,12 @@
-"""Demand for experts as groups of ranks show it, and a lead that follows it.
+"""Synthetic expert demand of groups of ranks, and a leader's loop that follows it.
 
-Two parts make up what is chosen in a set, as read from engines every 100 ms:
-one that all requests share (65 in 100), in which few experts get most and which
-moves on to other experts within one pass every few seconds, set by set; and one
-that each request brings by its topic, so that the few prompts that are read at
-one time show.
+The choices of experts in a set, as read from engines every 100 ms, have two parts. The
+part shared by all requests (65 in 100) is concentrated on few experts, and shifts to
+other experts within one step every few seconds, set by set. The other part depends on
+each request's topic, so that it shows the few prompts that are processed at a time.
 
-:class:`Follower` is the lead's loop on these readings: a window, a plan, and a
-map that is in force once orders and copies have taken their time.
+:class:`Follower` runs the leader's loop on these readings: a window, a plan, and a map
+that is in force after the time that commands and copies take.
 """
 
 import random
@@ -18,22 +17,22 @@
 from dunlinpoint.experts import benefit, placement, window
 
 READING_MS = 100
-# Preparing, holding and arming without the copies: 0.2 to 0.3 s.
+# Time to prepare, hold and arm without the copies: 0.2 to 0.3 s.
 ORDERS_MS = 250
 COMMON = 0.65
 TOPICS = 9
-# Prompts that are read within one reading.
+# Number of prompts processed during one reading.
 PROMPTS = 3
 SKEW = 0.92
 TOKENS = 1_000_000
-# A pass with even loads, in ms; the part that experts take grows with the load.
+# Duration of a step with even loads, in ms; the share of experts grows with the load.
 EVEN_PASS_MS = 45
-# How much longer passes take while ranks copy.
+# Factor by which steps take longer while ranks copy.
 COPYING = 1.15
 
 
 def popular(rng, experts):
-    """Shares by expert in an order drawn anew."""
+    """Return shares by expert, in a newly drawn order of popularity."""
     weights = [1 / place**SKEW for place in range(1, experts + 1)]
     total = sum(weights)
     rng.shuffle(order := list(range(experts)))
@@ -44,10 +43,10 @@
 
 
 def readings(shape, seconds, moves_on_ms, seed):
-    """Counts of all sets in a row, one reading after the other.
+    """Yield the counts of all sets in one flat list, reading by reading.
 
-    One set after the other moves on, all of them within *moves_on_ms*; ``None``
-    if none ever does.
+    Demand shifts in one set after the other, in all of them within *moves_on_ms*; never
+    if that is ``None``.
     """
     rng = random.Random(seed)
     topics = [
@@ -72,10 +71,10 @@
 
 @attrs.define
 class Follower:
-    """A lead's loop, and what came of it.
+    """A leader's loop and its results.
 
-    ``cost`` is the mean length of passes over that with even loads, ``moved``
-    how many experts were copied, ``changes`` how many maps came in force.
+    ``cost`` is the mean step duration relative to even loads, ``moved`` the number of
+    experts copied, ``changes`` the number of maps that came into force.
     """
 
     shape: config.Experts
@@ -87,7 +86,7 @@
     changes: int = 0
 
     def follow(self, counts_by_reading):
-        """Play all readings; returns this."""
+        """Process all readings; return this object."""
         shape = self.shape
         mapping = placement.round_robin(shape.sets, shape.experts, self.ranks)
         seen = window.Window(self.half_life_ms)
@@ -117,7 +116,7 @@
         return self
 
     def plan(self, mapping, counts):
-        """A map that is worth its copies, or ``None``."""
+        """Return a map whose benefit justifies its copies, or ``None``."""
         even = placement.even_load(counts, self.ranks)
         before = placement.step_load(mapping, counts)
         pass_ms = EVEN_PASS_MS * before / even
--- a/dunlinpoint/experts/tests/ranks.py
+++ b/dunlinpoint/experts/tests/ranks.py
@@ -1,7 +1,7 @@
-"""Ranks in lock-step, as stand-ins for engines, on a simulated clock.
+"""Simulated engines of ranks in lock-step, on a simulated clock.
 
-``Ranks`` steps like a group in lock-step and notes every step's maps: a change of map
-is sound when no step mixed two.
+``Ranks`` makes steps like a group in lock-step and records the map versions of every
+step: a change of map is correct if no step mixed two.
 """
 
 import attrs
@@ -17,7 +17,7 @@
 
 @attrs.define
 class Standing:
-    """One rank: its maps, what is armed, and orders still to come."""
+    """State of one rank: its maps, for what it is armed, and the step it holds."""
 
     map_version: int = 0
     prepared: int = 0
@@ -27,10 +27,10 @@
 
 @attrs.define(eq=False)
 class Ranks:
-    """A group on a simulated clock; ``lose(rank, order)`` says how one fails.
+    """A group on a simulated clock; ``lose(rank, order)`` makes commands fail.
 
-    It returns ``None`` to carry an order out and answer, or the delay in ms
-    after which an unanswered order is carried out.
+    It returns ``None`` if a command is executed and answered, or the delay in ms
+    after which the unanswered command is executed.
     """
 
     clock: task.Clock
@@ -57,13 +57,13 @@
         loop.start(PASS_MS / 1000)
 
     def lose_a_rank(self):
-        """A rank starts again: the group stands, and opens with nothing of before."""
+        """Restart a rank: the group breaks, and reopens without its earlier state."""
         self.open = False
         self.by_rank = [Standing() for _ in range(self.size)]
         self.clock.callLater(0.6, self.form)
 
     def form(self):
-        """The group opens in a new epoch."""
+        """Open the group in a new epoch."""
         self.epoch += 1
         self.open = True
 
@@ -116,7 +116,7 @@
         return defer.succeed(0)
 
     def state(self, number):
-        """How rank *number* reports that it stands."""
+        """Return the ``RankState`` of rank *number*."""
         rank = self.by_rank[number]
         return ttypes.RankState(
             group="g",
@@ -148,7 +148,7 @@
 
 
 class Reached(switch.Group):
-    """Ranks that are reached one by one: an order to each, then a look at all."""
+    """A group whose ranks get each command directly; then all states are read."""
 
     states = None
 
--- a/dunlinpoint/experts/tests/test_demand.py
+++ b/dunlinpoint/experts/tests/test_demand.py
@@ -1,4 +1,4 @@
-"""Maps that follow demand: how long passes take, and what is copied for it."""
+"""Maps that follow demand: the resulting step durations and number of copies."""
 
 import pytest
 
@@ -6,13 +6,13 @@
 from dunlinpoint.experts import benefit, placement, window
 from dunlinpoint.experts.tests import demand
 
-# Few ranks with large experts, and many with small ones.
+# Few ranks with large experts, many with small ones, and one in between.
 FEW = config.Experts(sets=3, experts=96, places=11, spare=4, copy_ms=142)
 MANY = config.Experts(sets=16, experts=96, places=5, spare=2, copy_ms=27)
 LARGE = config.Experts(sets=4, experts=64, places=5, spare=2, copy_ms=111)
 SECONDS = 24
-# What leads did before: as many new experts as a rank has room for, by demand of
-# the last seconds.
+# Policy to compare with: as many new experts as a rank has capacity for, planned by
+# the demand of the last seconds.
 ALL_AT_ONCE_MS = 1500
 
 
@@ -22,11 +22,11 @@
 
 @pytest.mark.parametrize(("shape", "ranks"), [(FEW, 12), (MANY, 24)])
 def test_demand_that_moves_on_within_a_pass(shape, ranks):
-    # Pattern: what is popular moves on to other experts at once, in some set or
-    # other every second. Symptom: passes as long as if no map had been changed,
-    # events later than callers bear, while every map was even when planned.
-    # Cause: ranks copied for up to 1.7 s, for demand of seconds ago. Grounds of
-    # the bounds: 0.81 (few ranks) and 0.82 (many) of the cost on these seeds.
+    # Failure: demand shifts abruptly to other experts, in one set or another every
+    # second. Steps are as long as if no map had been changed, and events miss the
+    # callers' latency target, although every map was even when it was planned. Ranks
+    # copied for up to 1.7 s, for demand of seconds ago. The cost here is 0.81 (few
+    # ranks) and 0.82 (many) of that of such a policy on these seeds.
     counts = list(demand.readings(shape, SECONDS, 3000, seed=5))
     room = benefit.room_of(shape)
     found = demand.Follower(shape, ranks, room).follow(counts)
@@ -37,10 +37,10 @@
 
 
 def test_demand_that_only_differs_by_prompt():
-    # Pattern: demand that is the same on average while each reading's prompts
-    # differ. Symptom: maps changed all the time for what is gone with the next
-    # prompt, most passes longer for copies. Grounds of the bounds: maps that
-    # are never changed after the first five seconds.
+    # Failure: demand is constant on average, while the prompts of each reading differ.
+    # Maps change all the time to suit prompts that are already finished, and most steps
+    # take longer because of copies. The bounds follow from maps that no longer change
+    # after the first five seconds.
     counts = list(demand.readings(FEW, SECONDS, None, seed=5))
     room = benefit.room_of(FEW)
     found = demand.Follower(FEW, 12, room).follow(counts)
@@ -65,10 +65,10 @@
 def test_what_was_in_demand_before_a_jump_is_forgotten(
     monkeypatch, shape, ranks, bound
 ):
-    # Pattern: as above. Symptom: three maps in a row after a jump, each a little less
-    # wrong, and passes twice as long for a second. Cause: counts from before the jump
-    # faded by half each 300 ms, and were in what each map was planned by. Grounds of
-    # the bounds: 0.96, 0.94 and 0.94 of the cost on these seeds.
+    # Failure: after a demand shift, three maps in a row are each a little less wrong,
+    # and steps take twice as long for a second. Counts from before the shift only
+    # decayed by half every 300 ms, and influenced each of these maps. The cost here is
+    # 0.96, 0.94 and 0.94 of that with decay alone on these seeds.
     counts = list(demand.readings(shape, SECONDS, 3000, seed=5))
     room = benefit.room_of(shape)
     found = demand.Follower(shape, ranks, room).follow(counts)
@@ -78,10 +78,10 @@
 
 
 def test_readings_that_differ_as_usual_are_no_jump():
-    # Pattern: few prompts are read at a time, and each reading differs from the last.
-    # Symptom: every reading is taken for a jump, and maps follow single prompts.
-    # Cause: one limit for groups of all sizes. Grounds of the bound: 6 of 120 readings
-    # of 3 sets here, most while nothing is known yet.
+    # Failure: every reading is taken for a demand shift, and maps follow single
+    # prompts. Few prompts are processed at a time, so each reading differs from the
+    # last, and one limit does not fit groups of all sizes. Here 6 of 120 readings of 3
+    # sets are taken for a shift, most while the usual difference is not known yet.
     seen = window.Window()
     for number, counts in enumerate(demand.readings(FEW, 12, None, seed=5)):
         seen.add(number * demand.READING_MS, counts, FEW.sets)
--- a/dunlinpoint/experts/tests/test_gather.py
+++ b/dunlinpoint/experts/tests/test_gather.py
@@ -1,4 +1,4 @@
-"""Ranks asked by way of others: what it saves, and what it must not break."""
+"""Queries through aggregators: fewer messages, and no mixed steps on failures."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 def begin(net, version, reached=None):
-    """The lead begins to change the map; what came of it, once it has."""
+    """Have the leader begin to change the map; return a list for its result."""
     reached = reached or net.reach(switch.LEAD)
     group = reached.group(SIZE, switch.LEAD)
     ended = []
@@ -30,7 +30,7 @@
 
 
 def settle(net, ended):
-    """What the lead's next turns do: lift a hold that was left behind."""
+    """Do what the leader's next iterations do: lift a hold that was left behind."""
     for _ in range(20):
         net.ranks.advance(400)
         if ended and net.ranks.by_rank[switch.DEPUTY].held:
@@ -45,7 +45,7 @@
 
 
 def gatherers(net):
-    """Ranks that pass questions on to others."""
+    """Return the ranks whose agents are aggregators."""
     peers = [gather.Peer("h", m.port, m.zone) for m in net.members()]
     apart = [peers[switch.LEAD], peers[switch.DEPUTY]]
     parts = gather.divide([p for p in peers if p != peers[0]], apart=apart)
@@ -53,9 +53,9 @@
 
 
 def test_a_lead_of_many_ranks_sends_few_messages():
-    # Pattern: 72 ranks, demand that jumps every two seconds. Symptom: maps half a
-    # second to a second late, the lead's link and core taken by 71 messages a round.
-    # Grounds of the bound: parts of about the root of the ranks' number.
+    # Failure: with 72 ranks and demand that shifts every two seconds, maps are half a
+    # second to a second late, because 71 messages a round occupy the leader's link and
+    # core. Subgroups have about the square root of the number of ranks.
     peers = [gather.Peer("h", n, "abc"[n % 3]) for n in range(72)]
     parts = gather.divide(peers, apart=peers[:2])
     assert sorted(p.port for part in parts for p in part) == list(range(72))
@@ -93,7 +93,7 @@
     for _ in range(2):
         reached.read("g", switch.LEAD, question)
         net.ranks.advance(500)
-    # Ten passes of one rank each, within what packing rounds off.
+    # Ten steps of each of the ranks, within the rounding of the packed counts.
     assert heard[0] == [0, 0]
     assert heard[1][0] == pytest.approx(10 * 10 * SIZE, rel=0.02)
 
@@ -111,11 +111,10 @@
 @pytest.mark.parametrize("stage", STAGES)
 @pytest.mark.parametrize("fault", FAULTS)
 def test_a_gatherer_that_fails_mixes_no_step(fault, stage, seed):
-    # Symptom feared: a step with two maps, or a group held for good. Sequence: an
-    # agent that passes questions on freezes, dies, answers late or starts again in
-    # one of the four stages of a change; what it had still to pass on reaches ranks
-    # seconds later, in any order, when the change was given up, the hold was lifted
-    # and another change is under way.
+    # Failure: a step with two maps, or a group held forever. An aggregator freezes,
+    # dies, answers late or restarts in one of the four stages of a change. The commands
+    # that it had yet to forward reach ranks seconds later, in any order, when the
+    # change was abandoned, the hold was lifted and another change is in progress.
     net = network(seed=seed)
     hit = gatherers(net)[seed % len(gatherers(net))]
     done = []
@@ -147,9 +146,9 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_orders_lost_and_machines_frozen_mix_no_step(seed):
-    # Symptom feared: a step with two maps. Sequence: a fifth of the orders is left
-    # unanswered and carried out later, while agents freeze and start again anywhere,
-    # and the deputy takes over from a lead that froze.
+    # Failure: a step with two maps. A fifth of the commands is left unanswered and
+    # executed later, while agents freeze and restart at any time, and the standby takes
+    # over from a leader that froze.
     rng = random.Random(seed)
 
     def lose(number, order):
@@ -171,8 +170,8 @@
 
 
 def test_a_lost_gatherer_keeps_its_ranks_from_nobody():
-    # Symptom: no map for as long as one machine is gone. Sequence: a gatherer dies; its
-    # part is asked directly, and its own rank's engine past the agent.
+    # Failure: no new map for as long as one machine is down. An aggregator dies; its
+    # subgroup is asked directly, and its own rank's engine past the agent.
     net = network()
     hit = gatherers(net)[0]
     net.kill(hit, 60_000)
@@ -191,8 +190,8 @@
 
 
 def test_an_order_that_was_not_answered_is_no_base():
-    # Symptom: an agent is sent changes to a map that it never got, again and again.
-    # Sequence: it dies as the map comes, and another map follows.
+    # Failure: an agent is repeatedly sent differences to a map that it never received.
+    # It dies when the map arrives, and another map follows.
     net = network()
     asker = net.handler_by_port[switch.LEAD].asker
     peer = gather.Peer("h", 5)
@@ -211,9 +210,9 @@
 
 
 def test_an_agent_gives_orders_again_by_itself():
-    # Pattern: engines leave a tenth of the orders unanswered and carry them out late.
-    # Symptom: a map 0.5 s later, a round of the lead for each of three kinds of order.
-    # Grounds of the bound: two tries of 50 ms, the second in three copies.
+    # Failure: engines leave a tenth of the commands unanswered and execute them late.
+    # Each of three kinds of command takes another round of the leader, and a map is
+    # 0.5 s late. The bound is two attempts of 50 ms, the second in three copies.
     lost = []
 
     def lose(number, order):
@@ -236,17 +235,17 @@
 @pytest.mark.parametrize("fault", ["freezes", "dies"])
 @pytest.mark.parametrize("after", range(1, 44, 3))
 def test_a_deputy_finishes_for_a_lead_of_many_ranks(fault, after):
-    # Symptom feared: a step with two maps, or a group held for as long as its lead's
-    # machine is gone. Sequence: the lead freezes or dies after its n-th message of a
-    # change; the deputy, fenced, asks all ranks, the lead's engine past its agent, and
-    # finishes; the lead wakes with what it had still to send.
+    # Failure: a step with two maps, or a group held for as long as its leader's machine
+    # is down. The leader freezes or dies after its n-th message of a change. The
+    # standby, which refuses its queries, asks all ranks, calls the leader's engine past
+    # its agent, and finishes the change. The leader resumes and sends what was pending.
     net = network(seed=after)
     lead, deputy = net.reach(switch.LEAD), net.reach(switch.DEPUTY)
     sent = []
     asker = lead.handler.asker
 
     class Links:
-        """The lead's links, which stand still from its n-th message on."""
+        """The leader's connections, which send nothing from its n-th message on."""
 
         def to(self, host, port):
             link = net.to(host, port)
@@ -271,7 +270,7 @@
 
 
 def deputise(net, deputy):
-    """What the deputy's turn does for a lead that is silent."""
+    """Do what the standby does in an iteration when the leader is silent."""
     handler = net.handler_by_port[switch.DEPUTY]
     handler.fenced = True
     looked = []
--- a/dunlinpoint/experts/tests/test_orders.py
+++ b/dunlinpoint/experts/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders that travel against the one before."""
+"""Commands that are compressed against an earlier one."""
 
 import json
 import random
@@ -12,7 +12,7 @@
 
 
 def texts(count, seed=1):
-    """Orders to prepare maps, of which each changes some of the one before."""
+    """Yield commands to prepare maps, each of which differs partly from the last."""
     rng = random.Random(seed)
     mapping = [
         [[rng.randrange(EXPERTS) for _ in range(3)] for _ in range(RANKS)]
@@ -27,7 +27,7 @@
 
 
 def receive(known, base, packed):
-    """What an agent that knows the texts *known* does: the text, or ``None``."""
+    """Decode like an agent that has the texts *known*: the text, or ``None``."""
     text = known.get(base)
     if text is None:
         return None
@@ -37,10 +37,10 @@
 
 
 def test_a_map_travels_as_what_changed():
-    # Pattern: a large group whose demand jumps every few seconds. Symptom: each map
-    # 0.6 to 0.8 s after it was planned, most of it the lead's link. Grounds of the
-    # bound: 1.1 to 1.4 KB against 3.4 KB for maps that a planner made one after the
-    # other.
+    # Failure: in a large group whose demand shifts every few seconds, each map is in
+    # force 0.6 to 0.8 s after it was planned, most of which its transfer over the
+    # leader's link takes. Maps that a planner made one after the other take 1.1 to
+    # 1.4 KB, against 3.4 KB without a base.
     sender, known = orders.Sender(), orders.Texts()
     sizes = []
     for text in texts(5):
@@ -52,8 +52,8 @@
 
 
 def test_an_agent_that_restarted_is_sent_the_whole():
-    # Symptom: a rank that never holds a map again, or holds another one. Sequence: an
-    # agent restarts between two maps and has none of the texts before.
+    # Failure: a rank never prepares a map again, or prepares another one, because its
+    # agent restarted between two maps and has none of the texts before.
     sender = orders.Sender()
     first, second = texts(2)
     sender.pack(3, first)
@@ -67,7 +67,7 @@
 
 
 def test_an_order_that_was_not_answered_is_no_base():
-    # Symptom: an agent is sent changes to a map that it never got, again and again.
+    # Failure: an agent is repeatedly sent differences to a map that it never received.
     sender = orders.Sender()
     first, second = texts(2)
     sender.pack(3, first)
@@ -75,8 +75,8 @@
 
 
 def test_another_base_is_no_base():
-    # Symptom feared: a map put together from changes to another one. The compression
-    # carries a checksum of its dictionary and one of the text.
+    # Failure: a map is decoded against the wrong base. The compressed data carries a
+    # checksum of its dictionary and one of the text.
     first, second = texts(2)
     packed = orders.pack(second, first)
     with pytest.raises(zlib.error):
--- a/dunlinpoint/experts/tests/test_placement.py
+++ b/dunlinpoint/experts/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Better maps: within the ranks' room, and more even."""
+"""Improved maps: within the limits per rank, and more even."""
 
 import random
 
@@ -44,8 +44,8 @@
 
 
 def test_what_saves_most_is_copied_first():
-    # Two sets, room to copy one expert at each rank: the set in which one
-    # expert is hot gets the copies, not the one that is nearly even.
+    # With capacity to copy one expert at each rank, the set with one hot expert gets
+    # the copies, not the set that is nearly even.
     even = [1.0] * 15 + [1.2]
     hot = [40.0] + [1.0] * 15
     old = placement.round_robin(2, 16, 4)
@@ -56,9 +56,9 @@
 
 
 def test_a_restarted_rank_counts_from_its_new_start():
-    # Symptom: a map made for demand that nobody has. Sequence: a rank
-    # restarts, its counters begin again at 0. Cause: the difference to the
-    # old reading taken as what was chosen.
+    # Failure: a map is planned for demand that never existed. A restarted rank's
+    # counters begin at 0, and their difference to the old reading is counted as
+    # choices.
     counter = window.Counter()
     assert counter.grown([100, 0]) == [0, 0]
     assert counter.grown([110, 5]) == [10, 5]
@@ -82,9 +82,9 @@
 
 
 def test_a_restart_that_has_grown_past_its_old_counts_is_no_demand():
-    # Symptom: a map is planned for demand that never was. Sequence: a rank restarts
-    # and chooses more often than ever before until it is asked again. Cause: only a
-    # fall of the counts was taken for a restart.
+    # Failure: a map is planned for demand that never existed. A restarted rank exceeds
+    # its old counts before it is asked again, and only falling counts are taken for a
+    # restart.
     counter = window.Counter()
     counter.grown([100, 0], epoch=1)
     assert counter.grown([900, 700], epoch=2) == [0, 0]
--- a/dunlinpoint/experts/tests/test_switch.py
+++ b/dunlinpoint/experts/tests/test_switch.py
@@ -1,4 +1,4 @@
-"""The change of map on ranks that lose, delay and refuse orders."""
+"""The change of map, with ranks that lose, delay and refuse commands."""
 
 import random
 
@@ -27,7 +27,7 @@
 
 
 def take_turn(ranks, ended):
-    """What the lead's loop does between switches: lift a hold left behind."""
+    """Do what the leader's loop does between switches: lift a hold left behind."""
     group = ranks.group()
     states = ranks.states().result
     if ended and states[group.holder].held:
@@ -46,10 +46,10 @@
 
 @pytest.mark.parametrize("seed", range(25))
 def test_lost_and_late_orders_mix_no_step(seed):
-    # Symptom: one step with two maps. Sequence: a third of the orders goes
-    # unanswered and is carried out up to three seconds later, after newer
-    # ones. Cause guarded against: arming without a hold, or lifting it with
-    # an arm order still on its way to a step that has not begun.
+    # Failure: one step with two maps. A third of the commands goes unanswered and is
+    # executed up to three seconds later, after newer ones. Guards against arming
+    # without a hold, and against lifting the hold while a command to arm for a step
+    # that has not begun is in transit.
     rng = random.Random(seed)
 
     def lose(number, order):
@@ -67,10 +67,10 @@
 
 @pytest.mark.parametrize("dies_after", range(1, 2 * SIZE + 4))
 def test_a_deputy_finishes_for_a_lead_that_froze(dies_after):
-    # Symptom: the group stands still for as long as the lead's machine is
-    # frozen. Sequence: the lead freezes after its n-th order with the group
-    # held, and its rank is out of reach with it; the deputy looks at the
-    # others. Cause: the hold stood at the lead's own rank.
+    # Failure: the group stalls for as long as the leader's machine is frozen, because
+    # the hold was placed at the leader's own rank. The leader freezes after its n-th
+    # command with the group held, its rank becomes unreachable, and the standby reads
+    # the states of the others.
     ranks = started()
     leader = ranks.group()
 
@@ -101,10 +101,10 @@
 
 @pytest.mark.parametrize("restarts_after", range(1, 2 * SIZE + 2))
 def test_a_rank_that_starts_again_takes_the_switch_with_it(restarts_after):
-    # Symptom feared: the group held for good, or a step with two maps. Sequence: a rank
-    # starts again, under its id, after the n-th order of a switch: with the group held,
-    # some ranks armed, all prepared. Nothing of that is there in the new epoch, and
-    # the orders that are still on their way name the old one.
+    # Failure: the group is held forever, or a step has two maps. A rank restarts under
+    # its id after the n-th command of a switch: with the group held, some ranks armed,
+    # all prepared. None of that exists in the new epoch, and the commands still in
+    # transit name the old one.
     ranks = started()
     leader = ranks.group()
 
@@ -130,11 +130,10 @@
 
 
 def test_lost_orders_hold_the_group_once():
-    # Symptom: a pause of most of a second in every stream, at each change of
-    # map, for as long as something loses half of the orders. Sequence: the map
-    # changes every second, each time two passes ahead; the group stands at the
-    # hold while orders are given again. Cause: whether orders get lost was
-    # forgotten after each change.
+    # Failure: every stream has a gap of most of a second at each change of map, for as
+    # long as half of the commands are lost. The map changes every second, each time
+    # only two steps ahead, and the group stalls at the hold while commands are
+    # repeated, if the loss of commands is forgotten after each change.
     rng = random.Random(3)
     lost = []
 
@@ -167,26 +166,25 @@
 
 
 def test_an_order_given_several_times_counts_as_taken_once():
-    # Symptom: a change of map given up ("prepare refused") although every rank
-    # holds it. Sequence: of three copies of an order one is carried out, one
-    # refused because of that, one lost. Cause: taking the refusal for the answer.
+    # Failure: a change of map is abandoned ("prepare refused") although every rank has
+    # prepared it. Of three copies of a command one is executed, one is refused because
+    # of that, and one is lost; the refusal was taken for the answer.
     assert dispatcher.best([409, 202, 0]) == 202
     assert dispatcher.best([0, 409, 0]) == 409
     assert dispatcher.best([0, 0, 0]) == 0
 
 
 def later(ranks, ms, action):
-    """A Deferred of what *action* returns *ms* from now."""
+    """Return a Deferred that fires with the result of *action* after *ms*."""
     return task.deferLater(ranks.clock, ms / 1000, action)
 
 
 @pytest.mark.parametrize("offset_ms", range(0, 70, 10))
 def test_a_lead_taken_for_dead_arms_nobody(offset_ms):
-    # Symptom: a step with two maps. Sequence: a lead that is slow holds the group;
-    # its deputy takes it for dead, answers it no more, sees nobody armed, and sends
-    # the order to go on; the lead, which does not see the holder, goes on arming
-    # the others; some are armed as the step begins. Cause: arming without having
-    # seen the hold a moment ago.
+    # Failure: a step with two maps. A slow leader holds the group. Its standby declares
+    # it dead, refuses its queries, sees no rank armed and sends the command to go on.
+    # The leader, which no longer sees the holder, goes on arming the others, and some
+    # are armed when the step begins. It armed without having seen the hold recently.
     ranks = started()
     fenced = []
     leader = ranks.group()
@@ -199,7 +197,7 @@
         return later(ranks, 5, lambda: seen)
 
     def order(number, body):
-        # What it arms gets through from the moment in which it is fenced.
+        # The leader's commands to arm get through only from when it is fenced.
         if body["operation"] == "arm" and not fenced:
             return defer.succeed(0)
         return ranks.order(number, body)
@@ -219,10 +217,10 @@
 
 
 def test_a_rank_armed_late_does_not_change_its_map_alone():
-    # Symptom: a step with two maps. Sequence: one rank refuses to be armed, another
-    # leaves the order unanswered; all are disarmed and seen so; the order to go on is
-    # lost and given again; meanwhile the engine carries out the order to arm. Cause: a
-    # rank that was disarmed can still be armed by an order on its way.
+    # Failure: a step with two maps. One rank refuses to be armed, and another leaves
+    # the command unanswered. All are disarmed and seen disarmed. While the command to
+    # go on is lost and repeated, the engine executes the late command to arm, and the
+    # disarmed rank is armed again.
     ranks = started()
     group = ranks.group()
     lost = []
@@ -248,9 +246,9 @@
 
 
 def test_a_rank_that_takes_no_map_in_place_of_a_withdrawn_one_holds_nobody_for_good():
-    # Symptom feared: a group that stands until its lead starts again. Sequence: a rank
-    # refuses to be armed, the change is withdrawn, and an engine refuses the map that
-    # it is to hold in place of the one that was to come.
+    # Failure: the group stalls until its leader restarts. A rank refuses to be armed,
+    # the change is withdrawn, and an engine refuses the map that it should prepare in
+    # place of the withdrawn one.
     ranks = started()
     group = ranks.group()
 
@@ -269,8 +267,8 @@
 
 
 def test_a_lead_that_froze_does_not_arm_by_what_it_saw_before():
-    # Symptom and cause as above. Sequence: the lead sees the hold, freezes for a
-    # second, and wakes with its orders to arm next.
+    # Failure and cause as in `test_a_lead_taken_for_dead_arms_nobody`. The leader sees
+    # the hold, freezes for a second, and on resuming sends its commands to arm.
     ranks = started()
     leader = ranks.group()
     now = []
@@ -285,10 +283,9 @@
 
 
 def test_one_order_that_is_not_answered_holds_nobody_up():
-    # Symptom: on a quiet day every stream in flight has one long pause. Sequence:
-    # one of a dozen orders to arm is not answered in time (150 ms) and given again;
-    # the group has come to the step meanwhile. Cause: the switch was set only two
-    # passes ahead.
+    # Failure: without any fault, every stream has one long gap. One of a dozen commands
+    # to arm is not answered in time (150 ms) and repeated, while the group reaches the
+    # step, because the switch was set only two steps ahead.
     ranks = started()
     group = ranks.group()
     lost = []
@@ -308,7 +305,7 @@
 
 
 def hurried(ranks, version, arming, lose=None):
-    """A hurried change of map; when it was in force, in ms from its beginning."""
+    """Make an urgent change of map; return the time until it is in force, in ms."""
     group = ranks.group()
     group.now = lambda: round(ranks.clock.seconds() * 1000)
     group.arming = arming
@@ -323,11 +320,11 @@
 
 
 def test_a_hurried_change_goes_by_how_long_arming_took():
-    # Pattern: demand jumps while passes are near what callers bear. Symptom: every
-    # stream is late for half a second more than it takes to arm the ranks. Cause: one
-    # distance for all groups and moments. After an order that was not answered in
-    # time, the distance covers such a one. Grounds of the bounds: 150 ms with three
-    # passes of 50 ms, and the 300 ms that careful changes are set ahead.
+    # Failure: demand shifts while steps are near the latency target, and every stream
+    # misses it for half a second more than arming the ranks takes, because the distance
+    # is the same for all groups and situations. After a command that was not answered
+    # in time, the distance must cover such a case. The bounds are 150 ms with three
+    # steps of 50 ms, and the 300 ms that normal changes are set ahead.
     ranks = started()
     arming = switch.Arming()
     took = [hurried(ranks, version, arming) for version in range(7, 14)]
@@ -346,9 +343,9 @@
 
 
 def test_a_lead_that_froze_sets_its_next_changes_no_farther_ahead():
-    # Symptom: one map in seconds for half a minute, skew twice what it was. Sequence:
-    # the lead's machine freezes for 4 s while ranks are armed; on waking, the arming
-    # has taken 4 s. Cause: changes in a hurry were set twice that ahead.
+    # Failure: only one map in several seconds for half a minute, with twice the usual
+    # skew. The leader's machine freezes for 4 s while ranks are armed, so that arming
+    # has taken 4 s, and urgent changes were set twice that far ahead.
     arming = switch.Arming([40] * switch.ARMINGS)
     assert arming.hurry_ms() < switch.AHEAD_MS
     arming.took(4000)
--- a/dunlinpoint/experts/window.py
+++ b/dunlinpoint/experts/window.py
@@ -1,14 +1,14 @@
-"""What was chosen lately: faded sums of what each reading of the ranks adds.
+"""Recent expert demand: decayed sums of the counts in each reading of the ranks.
 
-Engines count since they started; a rank's agent hands on what came to that
-since it was last asked (:class:`Counter`). The lead adds up all ranks' parts
-and fades older ones by half every :data:`HALF_LIFE_MS`.
+Engine counters are cumulative since the engine started; a rank's agent returns the
+growth since it was last asked (:class:`Counter`). The leader adds up the counts of all
+ranks and halves the weight of older ones every :data:`HALF_LIFE_MS`.
 
-Demand does not drift, it jumps: the popular experts of a set are others from one
-pass to the next, and then stay for seconds. A set whose newest reading differs from
-what was seen before by more than readings do is taken to have jumped, and what was
-before is forgotten at once (:class:`Jumps`). Faded only, old demand was in three maps
-in a row, each a little less wrong than the one before.
+Demand does not drift but shifts abruptly: the popular experts of a set change from one
+step to the next and then stay for seconds. If the newest reading of a set differs from
+the decayed counts by more than readings usually do, a demand shift is assumed and the
+older counts are discarded at once (:class:`Jumps`). With decay alone, old demand was
+part of three maps in a row, each a little less wrong than the one before.
 """
 
 import statistics
@@ -16,54 +16,55 @@
 
 import attrs
 
-# Between two jumps readings differ by the prompts that are read, which a longer mean
-# evens out; where sets jump one after the other, a shorter one follows sooner.
+# Between two demand shifts, readings differ by the prompts being processed, which a
+# longer average smooths; where sets shift one after the other, a shorter one adapts
+# sooner.
 HALF_LIFE_MS = 300
-# A reading is of other demand than the mean before it where the two differ in so many
-# times the part of choices that is usual between readings of the set, and in this part
-# at least.
+# A reading indicates a demand shift if the share of choices in which it differs from
+# the decayed counts is this many times the usual difference between readings of the
+# set, and at least the second value (a share of 0 to 1).
 JUMP_TIMES = 2.0
 LEAST_JUMP = 0.15
-# How many readings tell what is usual, and how many are needed for it.
+# Number of readings from which the usual difference is taken, and the minimum for it.
 USUAL_READINGS = 16
 LEAST_READINGS = 4
-# Counts travel as a byte each, the largest of a reading as 128 to 255: whole
-# counters of 24 ranks and 16 sets took 108 KB a reading, a quarter of a second
-# of an agent's link, against 24 KB.
+# Counts are sent as one byte each, the largest of a reading scaled to 128 to 255.
+# Unscaled counters of 24 ranks and 16 sets took 108 KB a reading, a quarter of a second
+# of an agent's link; bytes take 24 KB.
 BYTE_BITS = 8
 FAST = 1
 
 
 def pack(counts):
-    """*counts* (whole numbers) as bytes, each to within 1/128 of the largest."""
+    """Encode *counts* (integers) as bytes, each to within 1/128 of the largest."""
     shift = max(0, max(counts, default=0).bit_length() - BYTE_BITS)
     return bytes([shift]) + zlib.compress(bytes(c >> shift for c in counts), FAST)
 
 
 def unpack(data):
-    """The counts of :func:`pack`'s bytes."""
+    """Decode the counts from the bytes of :func:`pack`."""
     shift = data[0]
     return [byte << shift for byte in zlib.decompress(data[1:])]
 
 
 def total(parts):
-    """The sum by expert of *parts* (lists of counts)."""
+    """Sum *parts* (lists of counts by expert) by expert."""
     return [sum(chosen) for chosen in zip(*parts, strict=True)]
 
 
 @attrs.define
 class Counter:
-    """What one rank's counters, which only grow, have grown by."""
+    """Growth of one rank's cumulative counters."""
 
     last: list | None = None
     epoch: int | None = None
 
     def grown(self, counts, epoch=None):
-        """The growth since the last call; none at first and after a restart.
+        """Return the growth since the last call; zeros at first and after a restart.
 
-        A restarted rank counts from 0: its growth would be taken for demand. Where
-        nobody asked for so long that its new counts are past the old ones, only the
-        group's *epoch* tells, which is another whenever a rank was lost.
+        A restarted rank counts from 0, and its growth would be taken for demand. If
+        the rank was not asked until its new counts had passed the old ones, only the
+        group's *epoch* reveals the restart: it changes whenever a rank is lost.
         """
         last, self.last = self.last, counts
         same = epoch == self.epoch
@@ -75,7 +76,7 @@
 
 
 def difference(before, after):
-    """The part of the choices in which two counts by expert differ (0 to 1)."""
+    """Share of choices (0 to 1) in which two lists of counts by expert differ."""
     total_before, total_after = sum(before), sum(after)
     if not total_before or not total_after:
         return 0.0
@@ -85,12 +86,12 @@
 
 @attrs.define
 class Jumps:
-    """How much the readings of one set differ, as a rule."""
+    """Detects demand shifts of one set from the usual difference of its readings."""
 
     differences: list = attrs.field(factory=list)
 
     def has_jumped(self, before, after):
-        """Whether the reading *after* is of other demand than the mean *before*."""
+        """Whether the reading *after* shows other demand than the average *before*."""
         if not any(after):
             return False
         found = difference(before, after)
@@ -104,7 +105,7 @@
 
 @attrs.define
 class Window:
-    """Faded counts over all ranks, without those from before a jump of demand."""
+    """Decayed counts over all ranks, without counts from before a demand shift."""
 
     half_life_ms: int = HALF_LIFE_MS
     faded: list = attrs.field(factory=list)
@@ -113,7 +114,10 @@
     jumped: int = 0
 
     def add(self, now, fresh, sets=1):
-        """Take in one reading at *now* of all ranks' sums, of *sets* sets in a row."""
+        """Add one reading at *now* (ms): the sums over all ranks, set by set.
+
+        *fresh* holds the counts of *sets* sets in one flat list.
+        """
         if self.at_ms is None or len(self.faded) != len(fresh):
             self.faded = fresh
         else:
@@ -135,16 +139,16 @@
                 self.faded[place] = [b * keep + a for b, a in pairs]
 
     def resume(self, now):
-        """Go on after a pause in which nothing could be chosen.
+        """Continue after an outage in which no expert could be chosen.
 
-        What was in demand before an outage is the best there is to plan the
-        first map after it by; faded for as long as the group stood, it was
-        too little to plan by, and the group ran on its first map meanwhile.
+        Demand from before the outage is the best available basis for the first map
+        after it. Decayed over the duration of the outage, the counts were too few to
+        plan by, and the group kept its first map meanwhile.
         """
         if self.at_ms is not None:
             self.at_ms = now
 
     def by_set(self, sets):
-        """The faded counts by set and expert."""
+        """Return the decayed counts by set and expert."""
         size = len(self.faded) // sets
         return [self.faded[i * size : (i + 1) * size] for i in range(sets)]
