--- a/dunlinpoint/experts/gather.py
+++ b/dunlinpoint/experts/aggregation.py
@@ -19,7 +19,7 @@
 from twisted.internet import defer
 
 from dunlinpoint import clock, logs
-from dunlinpoint.experts import orders, window
+from dunlinpoint.experts import commands, window
 from dunlinpoint.wire import errors, rpc
 from dunlinpoint.wire.gen.dunlin import Rank, ttypes
 
@@ -27,12 +27,12 @@
 
 # Up to this many ranks (16) are asked directly: what aggregation saves them, 3 KB a
 # reading, is less than the extra hop through another machine takes.
-DIRECT_RANKS = 16
+MAX_DIRECT_RANKS = 16
 # How long a rank that did not answer in time is not used as an aggregator.
-AVOID_MS = 5000
+AVOID_AGGREGATOR_MS = 5000
 # Share of the query's timeout that an aggregator has for its subgroup; the rest covers
 # the network path to the aggregator and back.
-BEHIND_SHARE = 0.6
+SUBGROUP_TIMEOUT_SHARE = 0.6
 LINK_TIMEOUT_MS = 900
 
 
@@ -52,11 +52,11 @@
     counts: bool = False
     experts: bool = False
     leading: bool = False
-    order: orders.Order | None = None
+    command: commands.Command | None = None
 
 
 @attrs.define
-class Found:
+class Aggregate:
     """Answers (``RankAnswer``) received, and one list of counts per subgroup.
 
     ``rank_by_peer`` has the ranks of agents that answered only for themselves.
@@ -77,20 +77,20 @@
         return window.pack(window.total(self.counts)) if self.counts else None
 
 
-def divide(peers, avoided=(), apart=()):
+def divide(peers, avoided=(), direct_peers=()):
     """Divide *peers* into subgroups (lists) whose first member is the aggregator.
 
-    Peers *avoided* do not aggregate; those *apart* are asked directly.
+    Peers *avoided* do not aggregate; *direct_peers* are asked directly.
     """
-    if len(peers) <= DIRECT_RANKS:
+    if len(peers) <= MAX_DIRECT_RANKS:
         return [[peer] for peer in peers]
     largest = math.ceil(math.sqrt(len(peers)))
-    parts = [[peer] for peer in peers if peer in apart]
+    subgroups = [[peer] for peer in peers if peer in direct_peers]
     for zone in sorted({peer.zone for peer in peers}):
-        here = [p for p in peers if p.zone == zone and p not in apart]
+        here = [p for p in peers if p.zone == zone and p not in direct_peers]
         here.sort(key=lambda peer: peer in avoided)
-        parts.extend(split(here, math.ceil(len(here) / largest)))
-    return parts
+        subgroups.extend(split(here, math.ceil(len(here) / largest)))
+    return subgroups
 
 
 def split(peers, count):
@@ -99,13 +99,13 @@
 
 
 @attrs.define
-class Asker:
+class FanOutClient:
     """Queries other ranks' agents, for a leader or for an aggregator."""
 
     clock: clock.Clock
     links: rpc.Links
-    sender: orders.Sender = attrs.field(factory=orders.Sender)
-    avoided_ms_by_peer: dict = attrs.field(factory=dict)
+    sender: commands.Sender = attrs.field(factory=commands.Sender)
+    avoided_until_ms_by_peer: dict = attrs.field(factory=dict)
 
     @classmethod
     def from_config(cls, reactor):
@@ -114,78 +114,89 @@
         return cls(clock.Clock(reactor), links)
 
     @defer.inlineCallbacks
-    def ask(self, peer, question, timeout_ms, behind=()):
-        """A Deferred of the ``Gathered`` result of *peer* and its subgroup *behind*.
+    def ask(self, peer, question, timeout_ms, others=()):
+        """A Deferred of the ``Gathered`` result of *peer* and its subgroup *others*.
 
         Fails with ``WireError``, or with ``Refused`` if the agent refuses to answer.
         """
         for _ in range(2):
-            message = self._message(peer, question, timeout_ms, behind)
+            message = self._message(peer, question, timeout_ms, others)
             link = self.links.to(peer.host, peer.port)
             gathered = yield link.call("ask", message, timeout_ms=timeout_ms)
             if not gathered.needs_whole:
                 break
-            self.sender.forget(peer)
-        if gathered.answers and question.order is not None:
-            self.sender.taken(peer, question.order.text)
+            self.sender.forget_base(peer)
+        if gathered.answers and question.command is not None:
+            self.sender.acknowledge(peer, question.command.text)
         return gathered
 
-    def _message(self, peer, question, timeout_ms, behind):
+    def _message(self, peer, question, timeout_ms, others):
         message = ttypes.Question(
             counts=question.counts,
             experts=question.experts,
             leading=question.leading,
-            behind=[ttypes.Peer(other.host, other.port) for other in behind],
-            behind_ms=round(timeout_ms * BEHIND_SHARE),
+            behind=[ttypes.Peer(other.host, other.port) for other in others],
+            behind_ms=round(timeout_ms * SUBGROUP_TIMEOUT_SHARE),
         )
-        order = question.order
-        if order is not None:
-            message.base, message.order = self.sender.pack(peer, order.text)
-            message.operation = order.operation
-            message.version, message.epoch = order.version, order.epoch
+        command = question.command
+        if command is not None:
+            message.base, message.order = self.sender.pack(peer, command.text)
+            message.operation = command.operation
+            message.version, message.epoch = command.version, command.epoch
         return message
 
     @defer.inlineCallbacks
-    def ask_all(self, peers, question, timeout_ms, apart=()):
-        """A Deferred of ``Found`` for all *peers*; those *apart* are asked directly."""
-        parts = divide(peers, self.avoided(), apart)
-        return (yield self._ask_parts(parts, question, timeout_ms))
+    def ask_all(self, peers, question, timeout_ms, direct_peers=()):
+        """A Deferred of ``Aggregate`` for *peers*, with aggregators if they are many.
+
+        Those in *direct_peers* are always asked directly.
+        """
+        subgroups = divide(peers, self.avoided(), direct_peers)
+        return (yield self._ask_subgroups(subgroups, question, timeout_ms))
 
     def ask_each(self, peers, question, timeout_ms):
-        """A Deferred of ``Found`` for *peers*, each asked directly."""
-        return self._ask_parts([[peer] for peer in peers], question, timeout_ms)
+        """A Deferred of ``Aggregate`` for *peers*, each asked directly."""
+        return self._ask_subgroups([[peer] for peer in peers], question, timeout_ms)
 
     @defer.inlineCallbacks
-    def _ask_parts(self, parts, question, timeout_ms):
-        found = Found()
+    def _ask_subgroups(self, subgroups, question, timeout_ms):
+        result = Aggregate()
         yield defer.gatherResults(
-            [self._ask_part(found, part, question, timeout_ms) for part in parts]
+            [
+                self._ask_subgroup(result, subgroup, question, timeout_ms)
+                for subgroup in subgroups
+            ]
         )
-        return found
+        return result
 
     @defer.inlineCallbacks
-    def _ask_part(self, found, part, question, timeout_ms):
-        first, *behind = part
+    def _ask_subgroup(self, result, subgroup, question, timeout_ms):
+        aggregator, *others = subgroup
         try:
-            gathered = yield self.ask(first, question, timeout_ms, behind)
-            found.add(gathered)
-            if not behind and gathered.answers:
-                found.rank_by_peer[first] = gathered.answers[0].state.rank
+            gathered = yield self.ask(aggregator, question, timeout_ms, others)
+            result.add(gathered)
+            if not others and gathered.answers:
+                result.rank_by_peer[aggregator] = gathered.answers[0].state.rank
             return
         except ttypes.Refused:
             pass
         except errors.WireError as exc:
-            if behind:
-                self.avoided_ms_by_peer[first] = self.clock.now() + AVOID_MS
-                log.warning("gatherer_lost", host=first.host, error=str(exc))
+            if others:
+                self.avoided_until_ms_by_peer[aggregator] = (
+                    self.clock.now() + AVOID_AGGREGATOR_MS
+                )
+                log.warning("gatherer_lost", host=aggregator.host, error=str(exc))
         yield defer.gatherResults(
-            [self._ask_part(found, [peer], question, timeout_ms) for peer in behind]
+            [
+                self._ask_subgroup(result, [peer], question, timeout_ms)
+                for peer in others
+            ]
         )
 
     def avoided(self):
         """Return the peers that must not aggregate now."""
         now = self.clock.now()
-        by_peer = self.avoided_ms_by_peer
+        by_peer = self.avoided_until_ms_by_peer
         for peer in [peer for peer, until_ms in by_peer.items() if until_ms <= now]:
             del by_peer[peer]
         return set(by_peer)
--- a/dunlinpoint/experts/benefit.py
+++ b/dunlinpoint/experts/benefit.py
@@ -10,43 +10,43 @@
 # because the absolute number of copies grows with the group: counted over the whole
 # group, one of 24 ranks and 16 sets never changed its map, as its first change moves
 # hundreds of experts although they are no larger a share of the weights.
-LEAST_SAVED_MS = 6.0
-SAVED_PER_MOVE_MS = 21.0
+MIN_SAVED_MS = 6.0
+MIN_SAVED_PER_MOVE_MS = 21.0
 # Share of a step's duration that is spent in experts.
 EXPERT_SHARE = 0.85
 # Maximum time for which a rank copies experts for one map. Demand shifts abruptly to
 # other experts every few seconds; a map that takes as long to copy serves demand that
 # no longer exists.
-COPY_MS = 150
+MAX_COPY_MS = 150
 # The same for an urgent map. Where copying an expert takes 33 ms (72 ranks), one expert
 # per rank gives most of the gain that even four give after a demand shift, and is in
 # force 0.1 s sooner.
-HURRY_COPY_MS = 50
+URGENT_MAX_COPY_MS = 50
 # A change of map is urgent while steps last longer than this share of the shortest
 # inter-event gap that callers are promised: a single step above the promise delays a
 # stream, and one step in two is a third longer than the mean.
-HURRY_SHARE = 0.6
+URGENT_GAP_SHARE = 0.6
 # Weight of the newest skew in the moving average of skew.
-SKEW_NEWEST = 0.2
+SKEW_SMOOTHING = 0.2
 
 
 def min_saved_ms(shape, moved, ranks):
     """Minimum saving per step, in ms, that justifies moving *moved* experts."""
     cost_weight = 1 - shape.skew_weight
     share = moved / (ranks * shape.sets)
-    return LEAST_SAVED_MS + SAVED_PER_MOVE_MS * cost_weight * share
+    return MIN_SAVED_MS + MIN_SAVED_PER_MOVE_MS * cost_weight * share
 
 
-def saved_ms(pass_ms, before, after):
+def saved_ms(step_ms, before, after):
     """Reduction of step duration, in ms, when load goes from *before* to *after*."""
-    return pass_ms * EXPERT_SHARE * (1 - after / before)
+    return step_ms * EXPERT_SHARE * (1 - after / before)
 
 
-def room_of(shape, hurry=False):
+def rank_capacity(shape, urgent=False):
     """Return the ``RankCapacity`` of each rank for one change of map of *shape*."""
     new = shape.spare * shape.sets
     if shape.copy_ms > 0:
-        allowed_ms = HURRY_COPY_MS if hurry else COPY_MS
+        allowed_ms = URGENT_MAX_COPY_MS if urgent else MAX_COPY_MS
         new = min(new, max(1, int(allowed_ms / shape.copy_ms)))
     return placement.RankCapacity(shape.places, shape.spare, new)
 
@@ -55,21 +55,21 @@
 class Urgency:
     """Whether a change of map is urgent.
 
-    *allowed_ms* is the longest inter-event gap that meets the latency target, or 0 if
-    there is no target; *usual_skew* the moving average of skew (highest load of a rank
+    *max_gap_ms* is the longest inter-event gap that meets the latency target, or 0 if
+    there is no target; *mean_skew* the moving average of skew (highest load of a rank
     over the mean load).
     """
 
-    allowed_ms: int = 0
-    usual_skew: float | None = None
+    max_gap_ms: int = 0
+    mean_skew: float | None = None
 
-    def is_due(self, pass_ms, skew):
-        """Whether steps are too long, given their duration *pass_ms* and new *skew*.
+    def is_urgent(self, step_ms, skew):
+        """Whether steps are too long, given their duration *step_ms* and new *skew*.
 
-        *pass_ms* is an average over past steps. The duration of steps since a demand
+        *step_ms* is an average over past steps. The duration of steps since a demand
         shift is estimated from the ratio of *skew* to its moving average.
         """
-        usual = self.usual_skew or skew
-        self.usual_skew = usual + SKEW_NEWEST * (skew - usual)
-        longer = 1 - EXPERT_SHARE + EXPERT_SHARE * max(1.0, skew / usual)
-        return pass_ms * longer > HURRY_SHARE * self.allowed_ms > 0
+        mean = self.mean_skew or skew
+        self.mean_skew = mean + SKEW_SMOOTHING * (skew - mean)
+        slowdown = 1 - EXPERT_SHARE + EXPERT_SHARE * max(1.0, skew / mean)
+        return step_ms * slowdown > URGENT_GAP_SHARE * self.max_gap_ms > 0
--- a/dunlinpoint/experts/orders.py
+++ b/dunlinpoint/experts/commands.py
@@ -26,14 +26,14 @@
 # Base of a message that is compressed without one.
 NO_BASE = 0
 # Number of texts kept: a receiver that missed a map or two still shares a base.
-KEPT = 3
+MAX_TEXTS = 3
 # Minimum length (bytes) of a base. Commands to arm are sent between two maps and are
 # shorter; a map has nothing in common with them.
-LEAST_BASE = 400
+MIN_BASE_LENGTH = 400
 
 
 @attrs.frozen
-class Order:
+class Command:
     """One engine command; *text* is its JSON body."""
 
     operation: str
@@ -70,19 +70,19 @@
 
 
 @attrs.define
-class Texts:
-    """The last ``KEPT`` texts by checksum."""
+class TextCache:
+    """The last ``MAX_TEXTS`` texts by checksum."""
 
     text_by_checksum: dict = attrs.field(factory=dict)
 
-    def keep(self, text):
+    def add(self, text):
         """Add *text*; return its checksum, or ``NO_BASE`` if it is too short."""
-        if len(text) < LEAST_BASE:
+        if len(text) < MIN_BASE_LENGTH:
             return NO_BASE
         found = checksum(text)
         self.text_by_checksum.pop(found, None)
         self.text_by_checksum[found] = text
-        while len(self.text_by_checksum) > KEPT:
+        while len(self.text_by_checksum) > MAX_TEXTS:
             del self.text_by_checksum[next(iter(self.text_by_checksum))]
         return found
 
@@ -95,7 +95,7 @@
 class Sender:
     """Compresses texts for other ranks' agents, and tracks which bases they have."""
 
-    texts: Texts = attrs.field(factory=Texts)
+    texts: TextCache = attrs.field(factory=TextCache)
     base_by_peer: dict = attrs.field(factory=dict)
     packed_by_base: dict = attrs.field(factory=dict)
     text: str = ""
@@ -112,12 +112,12 @@
             self.packed_by_base[base] = pack(text, known)
         return base, self.packed_by_base[base]
 
-    def taken(self, peer, text):
+    def acknowledge(self, peer, text):
         """Record that the agent at *peer* has *text*."""
-        kept = self.texts.keep(text)
+        kept = self.texts.add(text)
         if kept != NO_BASE:
             self.base_by_peer[peer] = kept
 
-    def forget(self, peer):
+    def forget_base(self, peer):
         """Record that the agent at *peer* lacks the base assumed for it."""
         self.base_by_peer.pop(peer, None)
--- a/dunlinpoint/experts/engine.py
+++ b/dunlinpoint/experts/engine.py
@@ -16,7 +16,7 @@
 
 TIMEOUT_MS = 700
 # A command is answered at once or not at all, so it is repeated sooner than a read.
-ORDER_TIMEOUT_MS = 150
+COMMAND_TIMEOUT_MS = 150
 
 
 class RankError(Exception):
@@ -30,7 +30,7 @@
     report: str = "/api/report"
     counts: str = "/api/picked"
     experts: str = "/api/picked?lists=1"
-    order: str = "/api/order"
+    command: str = "/api/order"
 
 
 @attrs.frozen
@@ -38,18 +38,18 @@
     """The engine of one rank at *address* (``host:port``)."""
 
     address: str
-    calls: EnginePaths
+    paths: EnginePaths
     read_state: object
     http: treq.client.HTTPClient
 
     @classmethod
-    def from_config(cls, reactor, address, calls, read_state):
+    def from_config(cls, reactor, address, paths, read_state):
         """The engine at *address*; *read_state* makes a ``RankState`` of its bodies."""
         pool = client.HTTPConnectionPool(reactor, persistent=True)
         pool.retryAutomatically = False
         agent = client.Agent(reactor, pool=pool)
         http = treq.client.HTTPClient(agent)
-        return cls(address, calls, read_state, http)
+        return cls(address, paths, read_state, http)
 
     @property
     def url(self):
@@ -76,8 +76,8 @@
 
         Fails with ``RankError``, like :meth:`counts`.
         """
-        report = yield self._get(self.calls.report)
-        lists = (yield self._get(self.calls.experts)) if experts else None
+        report = yield self._get(self.paths.report)
+        lists = (yield self._get(self.paths.experts)) if experts else None
         try:
             return self.read_state(report, lists)
         except (KeyError, TypeError) as exc:
@@ -86,18 +86,18 @@
     @defer.inlineCallbacks
     def counts(self):
         """A Deferred of how often each expert of each set was chosen since start-up."""
-        picked = yield self._get(self.calls.counts)
+        picked = yield self._get(self.paths.counts)
         try:
             return picked["counts"]
         except (KeyError, TypeError) as exc:
             raise RankError(f"not a rank's counts: {exc!r}") from exc
 
     @defer.inlineCallbacks
-    def order(self, body_json, timeout_ms=ORDER_TIMEOUT_MS):
+    def send_command(self, body_json, timeout_ms=COMMAND_TIMEOUT_MS):
         """Send the engine a command; a Deferred of its status, or 0 for no answer."""
         try:
             response = yield self.http.post(
-                self.url + self.calls.order,
+                self.url + self.paths.command,
                 data=body_json.encode(),
                 headers={"Content-Type": "application/json"},
                 timeout=clock.seconds(timeout_ms),
--- a/dunlinpoint/experts/messages.py
+++ b/dunlinpoint/experts/messages.py
@@ -6,6 +6,6 @@
 KIND = "rank"
 
 
-def state_message(group, standing, experts=None):
+def state_message(group, progress, experts=None):
     """Return a ``RankState``; *group* and *standing* are dicts of its fields."""
-    return ttypes.RankState(**group, **standing, experts=experts)
+    return ttypes.RankState(**group, **progress, experts=experts)
--- a/dunlinpoint/experts/placement.py
+++ b/dunlinpoint/experts/placement.py
@@ -12,14 +12,14 @@
 
 A map is in force only once the slowest rank has copied its new experts, and by then
 other experts may be popular. Each change is therefore kept small at every rank
-(:class:`RankCapacity`) and starts with the sets that gain most. If more can be gained, the next
-change follows at once.
+(:class:`RankCapacity`) and starts with the sets that gain most. If more can be gained,
+the next change follows at once.
 """
 
 import attrs
 
 # Minimum reduction of the highest load by one more copy, as a share of that load.
-LEAST_STEP_GAIN = 0.02
+MIN_STEP_GAIN = 0.02
 # Number of experts of the most loaded rank that are considered for each change.
 CANDIDATES = 8
 
@@ -76,7 +76,7 @@
     )
 
 
-def largest_part(old, new):
+def max_new_experts(old, new):
     """Return the largest number of experts that are new to one rank."""
     ranks = range(len(old[0]))
     return max(
@@ -90,19 +90,21 @@
 
 @attrs.define
 class Change:
-    """Addition of one expert to rank ``to``, replacing expert ``drop`` if not ``None``.
+    """Addition of one expert to rank ``target``.
+
+    Expert ``drop`` is removed from that rank, unless it is ``None``.
 
     ``highest`` is the higher load of the two ranks after the change, ``saved`` how much
-    lower that is than the highest load before. If ``leaves``, the expert is removed
-    from rank ``top``.
+    lower that is than the highest load before. If ``is_move``, the expert is removed
+    from rank ``source``.
     """
 
     highest: float
     expert: int
-    top: int
-    to: int
+    source: int
+    target: int
     drop: int | None
-    leaves: bool
+    is_move: bool
     saved: float = 0.0
 
 
@@ -112,7 +114,7 @@
 
     holders: list
     counts: list
-    room: RankCapacity
+    capacity: RankCapacity
     before: list
     ranks_by_expert: list
     copies: list
@@ -120,7 +122,7 @@
     new_by_rank: list
 
     @classmethod
-    def from_holders(cls, holders, counts, room, new_by_rank):
+    def from_holders(cls, holders, counts, capacity, new_by_rank):
         """A plan that starts from *holders* (lists of experts by rank).
 
         *new_by_rank*, the number of experts that each rank has to copy, is shared by
@@ -133,7 +135,7 @@
         return cls(
             holders=[set(held) for held in holders],
             counts=counts,
-            room=room,
+            capacity=capacity,
             before=[set(held) for held in holders],
             ranks_by_expert=ranks_by_expert,
             copies=[len(ranks) for ranks in ranks_by_expert],
@@ -149,82 +151,96 @@
         """Whether *rank* would have to copy *expert*."""
         return expert not in self.before[rank]
 
-    def _may_take(self, rank, expert):
+    def _can_add(self, rank, expert):
         if expert in self.holders[rank]:
             return False
         if not self.is_new(rank, expert):
             return True
-        if self.new_by_rank[rank] >= self.room.new:
+        if self.new_by_rank[rank] >= self.capacity.new:
             return False
-        return len(self.holders[rank] - self.before[rank]) < self.room.spare
+        return len(self.holders[rank] - self.before[rank]) < self.capacity.spare
 
-    def _spare_copy(self, rank, expert):
+    def _redundant_copy(self, rank, expert):
         """Return an expert that *rank* can drop for *expert*, or ``None``."""
         extra = [x for x in self.holders[rank] if self.copies[x] > 1 and x != expert]
         return min(extra, key=self.share, default=None)
 
-    def _options(self, top, expert, by_load):
+    def _options(self, source, expert, by_load):
         """Yield changes that take load of *expert* off the most loaded rank."""
         count, copies = self.counts[expert], self.copies[expert]
-        for to in by_load:
-            if to == top or not self._may_take(to, expert):
+        for target in by_load:
+            if target == source or not self._can_add(target, expert):
                 continue
             drop, freed = None, 0.0
-            if len(self.holders[to]) >= self.room.places:
-                drop = self._spare_copy(to, expert)
+            if len(self.holders[target]) >= self.capacity.places:
+                drop = self._redundant_copy(target, expert)
                 if drop is None:
                     continue
                 freed = self.share(drop)
             whole, shared = count / copies, count / (copies + 1)
-            top_after = self.load[top] - (whole - shared)
-            to_after = self.load[to] + shared - freed
-            yield Change(max(top_after, to_after), expert, top, to, drop, leaves=False)
-            top_after = self.load[top] - whole
-            to_after = self.load[to] + whole - freed
-            yield Change(max(top_after, to_after), expert, top, to, drop, leaves=True)
+            source_after = self.load[source] - (whole - shared)
+            target_after = self.load[target] + shared - freed
+            yield Change(
+                max(source_after, target_after),
+                expert,
+                source,
+                target,
+                drop,
+                is_move=False,
+            )
+            source_after = self.load[source] - whole
+            target_after = self.load[target] + whole - freed
+            yield Change(
+                max(source_after, target_after),
+                expert,
+                source,
+                target,
+                drop,
+                is_move=True,
+            )
             return
 
     def best_change(self):
         """Return the change that lowers the highest load most, or ``None``."""
         by_load = sorted(range(len(self.load)), key=self.load.__getitem__)
-        top = by_load[-1]
-        heavy = sorted(self.holders[top], key=self.share, reverse=True)[:CANDIDATES]
-        options = [o for e in heavy for o in self._options(top, e, by_load)]
+        source = by_load[-1]
+        heavy = sorted(self.holders[source], key=self.share, reverse=True)[:CANDIDATES]
+        options = [o for e in heavy for o in self._options(source, e, by_load)]
         best = min(options, key=lambda o: o.highest, default=None)
-        if best is None or best.highest > self.load[top] * (1 - LEAST_STEP_GAIN):
+        if best is None or best.highest > self.load[source] * (1 - MIN_STEP_GAIN):
             return None
-        best.saved = self.load[top] - best.highest
+        best.saved = self.load[source] - best.highest
         return best
 
     def apply(self, change):
         """Apply *change* to the plan."""
-        if self.is_new(change.to, change.expert):
-            self.new_by_rank[change.to] += 1
+        if self.is_new(change.target, change.expert):
+            self.new_by_rank[change.target] += 1
         if change.drop is not None:
-            self._lose(change.to, change.drop)
-        if change.leaves:
-            self._lose(change.top, change.expert)
-        self._gain(change.to, change.expert)
+            self._remove(change.target, change.drop)
+        if change.is_move:
+            self._remove(change.source, change.expert)
+        self._add(change.target, change.expert)
 
     # Loads are updated incrementally, as only the holders of the changed expert are
     # affected. Recomputing them for all 72 ranks of a set took half of the 25 ms that a
     # plan takes.
 
-    def _gain(self, rank, expert):
-        self._weigh(expert, -1)
+    def _add(self, rank, expert):
+        self._adjust_loads(expert, -1)
         self.holders[rank].add(expert)
         self.ranks_by_expert[expert].add(rank)
         self.copies[expert] += 1
-        self._weigh(expert, 1)
+        self._adjust_loads(expert, 1)
 
-    def _lose(self, rank, expert):
-        self._weigh(expert, -1)
+    def _remove(self, rank, expert):
+        self._adjust_loads(expert, -1)
         self.holders[rank].discard(expert)
         self.ranks_by_expert[expert].discard(rank)
         self.copies[expert] -= 1
-        self._weigh(expert, 1)
+        self._adjust_loads(expert, 1)
 
-    def _weigh(self, expert, sign):
+    def _adjust_loads(self, expert, sign):
         """Add (1) or subtract (-1) *expert*'s share in its holders' loads."""
         if not self.copies[expert]:
             return
@@ -233,8 +249,8 @@
             self.load[rank] += share
 
 
-def improve(mapping, counts, room):
-    """Return a better map than *mapping* for *counts*, within the limits *room*.
+def improve(mapping, counts, capacity):
+    """Return a better map than *mapping* for *counts*, within the limits *capacity*.
 
     *counts* is by set and expert. Of all sets, the change that saves most is applied
     first, so that a rank's copies are used where they shorten a step most.
@@ -242,12 +258,12 @@
     ranks = len(mapping[0])
     new_by_rank = [0] * ranks
     plans = [
-        SetPlan.from_holders(holders, chosen, room, new_by_rank)
+        SetPlan.from_holders(holders, chosen, capacity, new_by_rank)
         for holders, chosen in zip(mapping, counts, strict=True)
     ]
     highest = [max(plan.load) for plan in plans]
     changes = [plan.best_change() for plan in plans]
-    for _ in range(ranks * min(room.new, room.spare * len(plans))):
+    for _ in range(ranks * min(capacity.new, capacity.spare * len(plans))):
         number = max(
             (i for i, change in enumerate(changes) if change is not None),
             key=lambda i: changes[i].saved,
@@ -255,11 +271,11 @@
         )
         if number is None:
             break
-        to = changes[number].to
+        target = changes[number].target
         plans[number].apply(changes[number])
-        full = new_by_rank[to] >= room.new
+        full = new_by_rank[target] >= capacity.new
         for i, change in enumerate(changes):
-            if i == number or (full and change is not None and change.to == to):
+            if i == number or (full and change is not None and change.target == target):
                 changes[i] = plans[i].best_change()
     return [
         [sorted(held) for held in (plan.holders if max(plan.load) < most else before)]
--- a/dunlinpoint/experts/rank.py
+++ b/dunlinpoint/experts/rank.py
@@ -9,7 +9,7 @@
 from zope.interface import implementer
 
 from dunlinpoint import clock, logs
-from dunlinpoint.experts import dispatcher, gather, messages, orders, window
+from dunlinpoint.experts import aggregation, commands, dispatcher, messages, window
 from dunlinpoint.experts import engine as engines
 from dunlinpoint.wire import rpc
 from dunlinpoint.wire.gen.dunlin import Rank, ttypes
@@ -25,79 +25,81 @@
 class Handler:
     """Thrift methods of the ``Rank`` service.
 
-    ``read_ms`` is the time of the last query from a leader. While *fenced*, queries
-    from leaders are refused, because the standby leader has taken over.
+    ``last_query_ms`` is the time of the last query from a leader. While *fenced*,
+    queries from leaders are refused, because the standby leader has taken over.
     """
 
     engine: engines.Engine
     clock: clock.Clock
-    asker: gather.Asker
-    giver: dispatcher.Giver
-    read_ms: int | None = None
+    fan_out: aggregation.FanOutClient
+    dispatcher: dispatcher.Dispatcher
+    last_query_ms: int | None = None
     fenced: bool = False
     counter: window.Counter = attrs.field(factory=window.Counter)
-    texts: orders.Texts = attrs.field(factory=orders.Texts)
+    texts: commands.TextCache = attrs.field(factory=commands.TextCache)
 
     @classmethod
     def from_config(cls, reactor, engine):
         """The handler of the agent on the host of *engine*."""
         ms_clock = clock.Clock(reactor)
-        asker = gather.Asker.from_config(reactor)
-        return cls(engine, ms_clock, asker, dispatcher.Giver(engine, ms_clock))
+        fan_out = aggregation.FanOutClient.from_config(reactor)
+        return cls(engine, ms_clock, fan_out, dispatcher.Dispatcher(engine, ms_clock))
 
     @defer.inlineCallbacks
     def ask(self, question):
         if question.leading and self.fenced:
             raise ttypes.Refused("fenced", 0)
         if question.leading:
-            self.read_ms = self.clock.now()
-        order = None
+            self.last_query_ms = self.clock.now()
+        command = None
         if question.order:
-            order = self.receive(question)
-            if order is None:
+            command = self.decode_command(question)
+            if command is None:
                 return ttypes.Gathered(answers=[], needs_whole=True)
-        asked = gather.Question(
-            question.counts, question.experts, question.leading, order
+        query = aggregation.Question(
+            question.counts, question.experts, question.leading, command
         )
-        behind = [gather.Peer(peer.host, peer.port) for peer in question.behind]
-        own = self.own(asked)
-        rest = self.asker.ask_each(behind, asked, question.behind_ms)
-        found, failure = (yield rest), None
+        behind = [aggregation.Peer(peer.host, peer.port) for peer in question.behind]
+        own = self.answer_locally(query)
+        forwarded = self.fan_out.ask_each(behind, query, question.behind_ms)
+        result, failure = (yield forwarded), None
         try:
-            found.add((yield own))
+            result.add((yield own))
         except engines.RankError as exc:
             failure = exc
-        if failure is not None and not found.answers:
+        if failure is not None and not result.answers:
             raise ttypes.Refused(str(failure), 0) from failure
-        return ttypes.Gathered(answers=found.answers, counts=found.packed_counts())
+        return ttypes.Gathered(answers=result.answers, counts=result.packed_counts())
 
-    def receive(self, question):
+    def decode_command(self, question):
         """Decode the command of *question*; ``None`` if its base is not known."""
         known = self.texts.get(question.base)
         if known is None:
             return None
         try:
-            text = orders.unpack(question.order, known)
+            text = commands.unpack(question.order, known)
         except zlib.error as exc:
             log.error("order_unreadable", error=str(exc))
             return None
-        self.texts.keep(text)
-        return orders.Order(question.operation, question.version, question.epoch, text)
+        self.texts.add(text)
+        return commands.Command(
+            question.operation, question.version, question.epoch, text
+        )
 
     @defer.inlineCallbacks
-    def own(self, asked):
-        """A Deferred of this rank's ``Gathered`` for *asked*; fails with ``RankError``.
+    def answer_locally(self, query):
+        """A Deferred of this rank's ``Gathered`` for *query*; fails with ``RankError``.
 
         The rank's state is read after the command was sent.
         """
         status = 0
-        if asked.order is not None:
-            status = yield self.giver.give(asked.order)
-        state = yield self.engine.state(asked.experts)
+        if query.command is not None:
+            status = yield self.dispatcher.dispatch(query.command)
+        state = yield self.engine.state(query.experts)
         counts = None
-        if asked.counts:
+        if query.counts:
             chosen = yield self.engine.counts()
-            counts = window.pack(self.counter.grown(chosen, state.epoch))
+            counts = window.pack(self.counter.growth(chosen, state.epoch))
         return ttypes.Gathered(
             answers=[ttypes.RankAnswer(state, status)], counts=counts
         )
@@ -132,7 +134,7 @@
 
 def announce_state(engine, announcer, address, state):
     """Announce the group's state, from the rank's *state*, to control."""
-    beat = ttypes.Heartbeat(
+    heartbeat = ttypes.Heartbeat(
         endpoint_id=f"{messages.KIND}-{address.host}",
         zone=address.zone,
         host=address.host,
@@ -147,12 +149,12 @@
         epoch=state.epoch,
         broken=not state.open,
     )
-    return announcer.send_heartbeat(beat)
+    return announcer.send_heartbeat(heartbeat)
 
 
-def announce(reactor, engine, announcer, address, every_ms):
-    """Announce the rank every *every_ms* until the reactor stops; return the loop."""
+def announce(reactor, engine, announcer, address, interval_ms):
+    """Announce the rank every *interval_ms* until the reactor stops."""
     loop = task.LoopingCall(announce_once, engine, announcer, address)
     loop.clock = reactor
-    loop.start(clock.seconds(every_ms))
+    loop.start(clock.seconds(interval_ms))
     return loop
--- a/dunlinpoint/experts/switch.py
+++ b/dunlinpoint/experts/switch.py
@@ -27,16 +27,16 @@
 rank is reachable.
 
 Commands to prepare, arm and disarm may be forwarded by other ranks' agents, which can
-freeze with them and forward them seconds later (:mod:`gather`). For the reason above
-that is harmless. Only the holder is always asked directly, as its silence tells the
-leader to stop, and the hold is placed and lifted directly at its engine.
+freeze with them and forward them seconds later (:mod:`aggregation`). For the reason
+above that is harmless. Only the holder is always asked directly, as its silence tells
+the leader to stop, and the hold is placed and lifted directly at its engine.
 """
 
 import attrs
 from twisted.internet import defer
 
 from dunlinpoint import clock, logs
-from dunlinpoint.experts import dispatcher, orders
+from dunlinpoint.experts import commands, dispatcher
 
 log = logs.logger("experts")
 
@@ -47,30 +47,30 @@
 # answer, and 150 ms more if one does not answer in time.
 AHEAD_MS = 300
 AHEAD_UNANSWERED_MS = 1500
-LEAST_AHEAD = 3
+MIN_AHEAD_STEPS = 3
 # The same for an urgent change. While steps are so long that streams miss their latency
 # target, waiting for the switch costs more than a short stall at the hold would. The
 # distance is this multiple of the longest of the recent arming times, and the one above
 # until enough changes have been timed. It is one step where the distance is shorter
 # than a step: with steps of 150 to 190 ms until the map is in force, one more step
 # costs more than an occasional short stall at the hold.
-HURRY_TIMES = 2.0
-HURRY_LEAST_MS = 100
-HURRY_LEAST_AHEAD = 1
-ARMINGS = 6
-POLL_MS = 30
+URGENT_AHEAD_FACTOR = 2.0
+URGENT_MIN_AHEAD_MS = 100
+URGENT_MIN_AHEAD_STEPS = 1
+ARMING_SAMPLES = 6
+POLL_INTERVAL_MS = 30
 COPY_TIMEOUT_MS = 4000
-HOLD_TRIES = 3
+HOLD_ATTEMPTS = 3
 # How long to wait for ranks to prepare another map in place of a withdrawn one. Copies
 # take 0.2 s at most; an engine that refuses such a command must not hold the group
 # forever.
-WITHDRAW_MS = 1000
+WITHDRAW_TIMEOUT_MS = 1000
 # Maximum age of the holder's last answer when ranks are armed: well below the time
 # after which a standby takes over from a silent leader (600 ms), less the transit time
 # of a command.
-SEEN_MS = 400
-LEAD = 0
-DEPUTY = 1
+MAX_HOLDER_AGE_MS = 400
+LEADER = 0
+STANDBY = 1
 
 
 class SwitchError(Exception):
@@ -85,38 +85,40 @@
 class Plan:
     """One change of map: its *version*, *mapping* and the group's *epoch*.
 
-    *copy_ms* is how long ranks are expected to copy experts for it. *hurry* marks the
-    change as urgent.
+    *copy_ms* is how long ranks are expected to copy experts for it. *urgent* makes it
+    as soon as possible.
     """
 
     version: int
     mapping: list
     epoch: int
     copy_ms: int = 0
-    hurry: bool = False
+    urgent: bool = False
 
 
 @attrs.define
-class Arming:
+class ArmingTimes:
     """Durations (ms) of recent changes, from holding the group to all ranks armed."""
 
-    took_ms: list = attrs.field(factory=list)
+    durations_ms: list = attrs.field(factory=list)
 
-    def took(self, ms):
+    def add(self, ms):
         """Add the duration of one more change of map."""
-        self.took_ms.append(ms)
-        del self.took_ms[:-ARMINGS]
+        self.durations_ms.append(ms)
+        del self.durations_ms[:-ARMING_SAMPLES]
 
-    def hurry_ms(self):
+    def urgent_ahead_ms(self):
         """Return how far ahead to set an urgent change, in ms.
 
         This is the distance of a normal change until enough durations are known, and
         never more than that: a leader that froze while it armed ranks took seconds for
         it, and would set its next changes as many seconds ahead.
         """
-        if len(self.took_ms) < ARMINGS:
+        if len(self.durations_ms) < ARMING_SAMPLES:
             return AHEAD_MS
-        wanted_ms = max(HURRY_LEAST_MS, HURRY_TIMES * max(self.took_ms))
+        wanted_ms = max(
+            URGENT_MIN_AHEAD_MS, URGENT_AHEAD_FACTOR * max(self.durations_ms)
+        )
         return min(AHEAD_MS, wanted_ms)
 
 
@@ -126,28 +128,28 @@
 
     ``ask(ranks, dict)`` sends a command, or none, to the engines of *ranks* through
     their agents; a Deferred of ``RankAnswer`` by rank of those that answered, with
-    their state after the command. ``order(rank, dict)`` sends a command to one engine
+    their state after the command. ``send(rank, dict)`` sends a command to one engine
     directly; a Deferred of its status or 0. ``sleep(ms)`` is a Deferred that fires
     after that time. ``mapping_of(version)`` returns the map prepared as *version*,
-    or ``None`` if it is not known. ``orders_get_lost()`` tells whether commands went
-    unanswered recently, ``now()`` is the time in ms, and ``seen_ms`` is when the last
-    query that the holder answered was sent.
+    or ``None`` if it is not known. ``commands_get_lost()`` tells whether commands went
+    unanswered recently, ``now()`` is the time in ms, and ``holder_seen_ms`` is when the
+    last query that the holder answered was sent.
     """
 
     size: int
     ask: object
-    order: object
+    send: object
     sleep: object
-    orders_get_lost: object = lambda: False
+    commands_get_lost: object = lambda: False
     now: object = lambda: 0
     mapping_of: object = lambda version: None
-    seen_ms: int | None = None
-    arming: Arming = attrs.field(factory=Arming)
+    holder_seen_ms: int | None = None
+    arming_times: ArmingTimes = attrs.field(factory=ArmingTimes)
 
     @property
     def holder(self):
         """The rank at which the group is held: the standby leader's."""
-        return min(DEPUTY, self.size - 1)
+        return min(STANDBY, self.size - 1)
 
     @property
     def ranks(self):
@@ -157,22 +159,22 @@
     @property
     def others(self):
         """Every rank but the leader's."""
-        return [rank for rank in range(self.size) if rank != LEAD]
+        return [rank for rank in range(self.size) if rank != LEADER]
 
     @defer.inlineCallbacks
-    def see(self, ranks=(), order=None):
-        """Ask *ranks*, with the command *order*, and always the holder; their answers.
+    def poll(self, ranks=(), command=None):
+        """Ask *ranks* and always the holder, with *command*; their answers.
 
-        Sets ``seen_ms`` to when the query was sent, if the holder answered.
+        Sets ``holder_seen_ms`` to when the query was sent, if the holder answered.
         """
         asked_ms = self.now()
         asked = sorted({*ranks, self.holder})
-        answers = yield self.ask(asked, order)
+        answers = yield self.ask(asked, command)
         if self.holder in answers:
-            self.seen_ms = asked_ms
+            self.holder_seen_ms = asked_ms
         return answers
 
-    def check_seen(self):
+    def check_holder_seen(self):
         """Raise ``SwitchError`` unless the holder answered recently.
 
         A leader that froze, or waited long for another rank, may have been declared
@@ -180,7 +182,10 @@
         already seen none armed and is about to lift the hold: the step begins with some
         ranks armed, and mixes two maps.
         """
-        if self.seen_ms is None or self.now() - self.seen_ms > SEEN_MS:
+        if (
+            self.holder_seen_ms is None
+            or self.now() - self.holder_seen_ms > MAX_HOLDER_AGE_MS
+        ):
             raise SwitchError("the last answer of the holder is too old")
 
 
@@ -199,50 +204,50 @@
     An unanswered command may be executed late or never. If it was executed in the
     meantime, repeating it is refused, which is harmless.
     """
-    order = {
-        "operation": orders.PREPARE,
+    command = {
+        "operation": commands.PREPARE,
         "version": plan.version,
         "epoch": plan.epoch,
         "mapping": plan.mapping,
     }
-    began_ms, waited, pause_ms = group.now(), 0, plan.copy_ms
+    start_ms, waited_ms, pause_ms = group.now(), 0, plan.copy_ms
     while True:
-        answers = yield group.ask(group.ranks, order)
+        answers = yield group.ask(group.ranks, command)
         states = states_of(answers, plan.epoch)
-        late = [
+        pending = [
             r
             for r in group.ranks
             if r not in states or states[r].prepared != plan.version
         ]
-        if not late:
+        if not pending:
             return states
-        statuses = {r: answers[r].status for r in late if r in answers}
+        statuses = {r: answers[r].status for r in pending if r in answers}
         refused = [r for r, s in statuses.items() if s and s not in dispatcher.OK]
         if refused:
             raise SwitchError(f"prepare refused at ranks {refused}")
-        if max(waited, group.now() - began_ms) >= COPY_TIMEOUT_MS:
-            raise SwitchError(f"ranks {late} did not prepare the map in time")
+        if max(waited_ms, group.now() - start_ms) >= COPY_TIMEOUT_MS:
+            raise SwitchError(f"ranks {pending} did not prepare the map in time")
         yield group.sleep(pause_ms)
-        waited += pause_ms
-        pause_ms = POLL_MS
+        waited_ms += pause_ms
+        pause_ms = POLL_INTERVAL_MS
 
 
 @defer.inlineCallbacks
-def hold(group, plan, step, passes):
-    """Hold the group *passes* steps after *step*; return the step that is held.
+def hold(group, plan, step, steps):
+    """Hold the group *steps* steps after *step*; return the step that is held.
 
     Raises ``SwitchError``. If the group has reached the step in the meantime, it is
     held as many steps later, because a hold before a step that has begun is refused.
     """
-    holder, held = group.holder, step + passes
-    for _ in range(HOLD_TRIES):
-        order = {"operation": orders.HOLD, "step": held, "epoch": plan.epoch}
-        yield group.order(holder, order)
-        states = states_of((yield group.see()), plan.epoch)
+    holder, held = group.holder, step + steps
+    for _ in range(HOLD_ATTEMPTS):
+        command = {"operation": commands.HOLD, "step": held, "epoch": plan.epoch}
+        yield group.send(holder, command)
+        states = states_of((yield group.poll()), plan.epoch)
         if holder in states and states[holder].held == held:
             return held
         if holder in states and states[holder].step >= held:
-            held = states[holder].step + passes
+            held = states[holder].step + steps
     # The command may still be executed; the leader's control loop lifts a hold that
     # belongs to no change of map.
     raise SwitchError("the group could not be held")
@@ -251,11 +256,16 @@
 @defer.inlineCallbacks
 def arm(group, ranks, version, step, epoch):
     """Arm *ranks* for *step*; ``True`` once all are armed, ``False`` if one refuses."""
-    order = {"operation": orders.ARM, "version": version, "step": step, "epoch": epoch}
+    command = {
+        "operation": commands.ARM,
+        "version": version,
+        "step": step,
+        "epoch": epoch,
+    }
     pending = set(ranks)
     while pending:
-        group.check_seen()
-        answers = yield group.see(pending, order)
+        group.check_holder_seen()
+        answers = yield group.poll(pending, command)
         states = states_of(answers, epoch)
         if group.holder not in states:
             # The standby leader may lift the hold at any moment. Ranks that are armed
@@ -268,7 +278,7 @@
         if any(answers[r].status == dispatcher.REFUSED for r in pending if r in states):
             return False
         if pending:
-            yield group.sleep(POLL_MS)
+            yield group.sleep(POLL_INTERVAL_MS)
     return True
 
 
@@ -285,75 +295,77 @@
     versions = versions_of(states)
     newest = versions[-1] if versions else 0
     mapping = group.mapping_of(newest) if newest else None
-    instead = {
-        "operation": orders.PREPARE,
+    replacement = {
+        "operation": commands.PREPARE,
         "version": newest + 1,
         "epoch": epoch,
         "mapping": mapping,
     }
-    began_ms, waited = group.now(), 0
+    start_ms, waited_ms = group.now(), 0
     while True:
         for version in versions:
-            order = {"operation": orders.DISARM, "version": version, "epoch": epoch}
-            answers = yield group.see(ranks, order)
-        answers = yield group.see(ranks, instead if mapping is not None else None)
+            command = {"operation": commands.DISARM, "version": version, "epoch": epoch}
+            answers = yield group.poll(ranks, command)
+        answers = yield group.poll(ranks, replacement if mapping is not None else None)
         states = states_of(answers, epoch)
         holder = states.get(group.holder)
         if holder is not None and holder.held != step:
             return
-        late = [r for r in ranks if r not in states or states[r].armed]
-        waited = max(waited, group.now() - began_ms)
-        if mapping is not None and waited < WITHDRAW_MS:
-            late += [r for r in ranks if r in states and states[r].prepared <= newest]
-        if holder is not None and holder.step >= step - 1 and not late:
+        pending = [r for r in ranks if r not in states or states[r].armed]
+        waited_ms = max(waited_ms, group.now() - start_ms)
+        if mapping is not None and waited_ms < WITHDRAW_TIMEOUT_MS:
+            pending += [
+                r for r in ranks if r in states and states[r].prepared <= newest
+            ]
+        if holder is not None and holder.step >= step - 1 and not pending:
             break
-        yield group.sleep(POLL_MS)
-        waited += POLL_MS
-    yield go(group, step, epoch)
+        yield group.sleep(POLL_INTERVAL_MS)
+        waited_ms += POLL_INTERVAL_MS
+    yield lift_hold(group, step, epoch)
 
 
 @defer.inlineCallbacks
-def go(group, step, epoch):
+def lift_hold(group, step, epoch):
     """Lift the hold before *step*, and verify that it is lifted."""
-    order = {"operation": orders.GO, "step": step, "epoch": epoch}
+    command = {"operation": commands.GO, "step": step, "epoch": epoch}
     while True:
-        yield group.order(group.holder, order)
-        states = states_of((yield group.see()), epoch)
+        yield group.send(group.holder, command)
+        states = states_of((yield group.poll()), epoch)
         holder = states.get(group.holder)
         if holder is not None and holder.held != step:
             return
-        yield group.sleep(POLL_MS)
+        yield group.sleep(POLL_INTERVAL_MS)
 
 
-def ahead(group, plan, passes_per_s):
+def steps_ahead(group, plan, steps_per_s):
     """Return how many steps ahead the switch is set, enough to arm every rank."""
-    passes_per_ms = passes_per_s / clock.MS_PER_SECOND
-    if group.orders_get_lost():
-        return max(LEAST_AHEAD, int(passes_per_ms * AHEAD_UNANSWERED_MS))
-    if plan.hurry:
-        hurry_ms = group.arming.hurry_ms()
-        return max(HURRY_LEAST_AHEAD, int(passes_per_ms * hurry_ms))
-    return max(LEAST_AHEAD, int(passes_per_ms * AHEAD_MS))
+    steps_per_ms = steps_per_s / clock.MS_PER_SECOND
+    if group.commands_get_lost():
+        return max(MIN_AHEAD_STEPS, int(steps_per_ms * AHEAD_UNANSWERED_MS))
+    if plan.urgent:
+        urgent_ahead_ms = group.arming_times.urgent_ahead_ms()
+        return max(URGENT_MIN_AHEAD_STEPS, int(steps_per_ms * urgent_ahead_ms))
+    return max(MIN_AHEAD_STEPS, int(steps_per_ms * AHEAD_MS))
 
 
 @defer.inlineCallbacks
-def run(group, plan, passes_per_s):
+def run(group, plan, steps_per_s):
     """Execute *plan*; raises ``SwitchError``, which leaves the old map in force."""
     states = yield prepare(group, plan)
     newest = max(state.step for state in states.values())
-    passes = ahead(group, plan, passes_per_s)
+    steps = steps_ahead(group, plan, steps_per_s)
     version, epoch = plan.version, plan.epoch
-    began_ms, armed = group.now(), False
+    start_ms, armed = group.now(), False
     try:
-        step = yield hold(group, plan, newest, passes)
+        step = yield hold(group, plan, newest, steps)
         armed = yield arm(group, group.others, version, step, epoch)
-        armed = armed and (yield arm(group, [LEAD], version, step, epoch))
+        armed = armed and (yield arm(group, [LEADER], version, step, epoch))
     finally:
         # A change that was abandoned counts as set too little ahead.
-        took_ms = group.now() - began_ms
-        group.arming.took(took_ms if armed else max(took_ms, AHEAD_MS))
+        took_ms = group.now() - start_ms
+        group.arming_times.add(took_ms if armed else max(took_ms, AHEAD_MS))
     if armed:
-        yield go(group, step, epoch)
+        yield lift_hold(group, step, epoch)
         return
     yield withdraw(group, group.ranks, states, step, epoch)
     raise SwitchError("a rank refused to be armed")
@@ -370,11 +382,11 @@
     armed = [rank for rank, state in states.items() if state.armed]
     log.warning("held_by_no_switch", step=step, armed=armed, missing=missing)
     if len(armed) == group.size:
-        yield go(group, step, epoch)
+        yield lift_hold(group, step, epoch)
         return True
-    if missing == [LEAD] and len(armed) == len(states):
+    if missing == [LEADER] and len(armed) == len(states):
         return False
-    if missing and missing != [LEAD]:
+    if missing and missing != [LEADER]:
         return False
     yield withdraw(group, sorted(states), states, step, epoch)
     return True
--- a/dunlinpoint/experts/tests/agents.py
+++ b/dunlinpoint/experts/tests/agents.py
@@ -12,24 +12,24 @@
 
 from dunlinpoint import clock as clocks
 from dunlinpoint import metrics
-from dunlinpoint.experts import dispatcher, gather, rank, reach
-from dunlinpoint.experts.tests import ranks as standins
+from dunlinpoint.experts import aggregation, dispatcher, group_client, rank
+from dunlinpoint.experts.tests import ranks as simulated
 from dunlinpoint.wire import errors
 from dunlinpoint.wire.gen.dunlin import ttypes
 
 ZONES = ("a", "b")
-WAY_MS = 2
+ONE_WAY_MS = 2
 
 
 @attrs.define
 class Engine:
     """One rank's engine, with the interface that its agent calls."""
 
-    ranks: standins.Ranks
+    ranks: simulated.Ranks
     number: int
 
-    def order(self, text, timeout_ms=150):
-        answer = self.ranks.order(self.number, json.loads(text))
+    def send_command(self, text, timeout_ms=150):
+        answer = self.ranks.send(self.number, json.loads(text))
         if answer.result:
             return answer
         return later(self.ranks.clock, timeout_ms, lambda: 0)
@@ -55,7 +55,7 @@
 class Network:
     """Agents of all ranks of one group, by port; the port is the rank."""
 
-    ranks: standins.Ranks
+    ranks: simulated.Ranks
     rng: random.Random
     handler_by_port: dict = attrs.field(factory=dict)
     inbox_by_frozen: dict = attrs.field(factory=dict)
@@ -72,12 +72,12 @@
         """Start or restart an agent, without any state."""
         self.dead.discard(number)
         reactor, engine = self.ranks.clock, Engine(self.ranks, number)
-        asker = gather.Asker(clocks.Clock(reactor), self)
+        fan_out = aggregation.FanOutClient(clocks.Clock(reactor), self)
         self.handler_by_port[number] = rank.Handler(
             engine,
             clocks.Clock(reactor),
-            asker,
-            dispatcher.Giver(engine, clocks.Clock(reactor)),
+            fan_out,
+            dispatcher.Dispatcher(engine, clocks.Clock(reactor)),
         )
 
     def freeze(self, number, for_ms):
@@ -122,10 +122,10 @@
         """Return the live members, like ``View``."""
         return self.members()
 
-    def reach(self, number):
-        """Return the ``Reach`` of the agent of rank *number*, as leader or standby."""
+    def group_client(self, number):
+        """Return the client of rank *number*'s agent, as leader or standby."""
         ms_clock = clocks.Clock(self.ranks.clock)
-        found = reach.Reach(
+        found = group_client.GroupClient(
             self.handler_by_port[number], self, ms_clock, metrics.Counters(None)
         )
         found.member_by_rank = dict(enumerate(self.members()))
@@ -171,16 +171,16 @@
             net.messages_by_port[self.port] = net.messages_by_port.get(self.port, 0) + 1
             net.on_message(self.port, question)
             handler = net.handler_by_port[self.port]
-            back_ms = WAY_MS + net.slow_ms_by_port.get(self.port, 0)
+            back_ms = ONE_WAY_MS + net.slow_ms_by_port.get(self.port, 0)
             answer = defer.maybeDeferred(handler.ask, question)
             answer.addCallback(lambda r: later(reactor, back_ms, lambda: r))
             answer.addCallbacks(done, failed)
 
-        reactor.callLater(WAY_MS / 1000, deliver)
+        reactor.callLater(ONE_WAY_MS / 1000, deliver)
         return outer
 
 
-class Silent:
+class SilentLink:
     """A connection that sends nothing any more."""
 
     def call(self, method, question, timeout_ms):
@@ -188,7 +188,7 @@
 
 
 @attrs.define
-class Held:
+class DelayedLink:
     """A connection that sends messages *ms* late, like a machine that froze."""
 
     link: Link
--- a/dunlinpoint/experts/tests/demand.py
+++ b/dunlinpoint/experts/tests/demand.py
@@ -18,20 +18,20 @@
 
 READING_MS = 100
 # Time to prepare, hold and arm without the copies: 0.2 to 0.3 s.
-ORDERS_MS = 250
-COMMON = 0.65
+COMMANDS_MS = 250
+COMMON_SHARE = 0.65
 TOPICS = 9
 # Number of prompts processed during one reading.
 PROMPTS = 3
 SKEW = 0.92
 TOKENS = 1_000_000
 # Duration of a step with even loads, in ms; the share of experts grows with the load.
-EVEN_PASS_MS = 45
+EVEN_STEP_MS = 45
 # Factor by which steps take longer while ranks copy.
-COPYING = 1.15
+COPY_SLOWDOWN = 1.15
 
 
-def popular(rng, experts):
+def popularity(rng, experts):
     """Return shares by expert, in a newly drawn order of popularity."""
     weights = [1 / place**SKEW for place in range(1, experts + 1)]
     total = sum(weights)
@@ -42,29 +42,30 @@
     return shares
 
 
-def readings(shape, seconds, moves_on_ms, seed):
+def readings(shape, seconds, shift_period_ms, seed):
     """Yield the counts of all sets in one flat list, reading by reading.
 
-    Demand shifts in one set after the other, in all of them within *moves_on_ms*; never
-    if that is ``None``.
+    Demand shifts in one set after the other, in all of them within *shift_period_ms*;
+    never if that is ``None``.
     """
     rng = random.Random(seed)
     topics = [
-        [popular(rng, shape.experts) for _ in range(shape.sets)] for _ in range(TOPICS)
+        [popularity(rng, shape.experts) for _ in range(shape.sets)]
+        for _ in range(TOPICS)
     ]
-    common = [popular(rng, shape.experts) for _ in range(shape.sets)]
+    common = [popularity(rng, shape.experts) for _ in range(shape.sets)]
     for number in range(seconds * 1000 // READING_MS):
-        if moves_on_ms:
-            every = moves_on_ms // READING_MS // shape.sets
+        if shift_period_ms:
+            every = shift_period_ms // READING_MS // shape.sets
             if number and number % every == 0:
                 moving = number // every % shape.sets
-                common[moving] = popular(rng, shape.experts)
+                common[moving] = popularity(rng, shape.experts)
         prompts = rng.choices(topics, k=PROMPTS)
         counts = []
         for i in range(shape.sets):
             for e in range(shape.experts):
                 topical = sum(topic[i][e] for topic in prompts) / PROMPTS
-                share = COMMON * common[i][e] + (1 - COMMON) * topical
+                share = COMMON_SHARE * common[i][e] + (1 - COMMON_SHARE) * topical
                 counts.append(int(TOKENS * share))
         yield counts
 
@@ -79,23 +80,23 @@
 
     shape: config.Experts
     ranks: int
-    room: placement.RankCapacity
+    capacity: placement.RankCapacity
     half_life_ms: int = window.HALF_LIFE_MS
     cost: float = 0.0
     moved: int = 0
     changes: int = 0
 
-    def follow(self, counts_by_reading):
+    def run(self, counts_by_reading):
         """Process all readings; return this object."""
         shape = self.shape
         mapping = placement.round_robin(shape.sets, shape.experts, self.ranks)
         seen = window.Window(self.half_life_ms)
-        coming, in_force_ms, copied_ms = None, 0, 0
+        next_mapping, in_force_ms, copied_ms = None, 0, 0
         costs = []
         for number, counts in enumerate(counts_by_reading):
             now = number * READING_MS
-            if coming is not None and now >= in_force_ms:
-                mapping, coming = coming, None
+            if next_mapping is not None and now >= in_force_ms:
+                mapping, next_mapping = next_mapping, None
                 self.changes += 1
             chosen = window.Window()
             chosen.add(now, counts, shape.sets)
@@ -103,15 +104,15 @@
             even = placement.even_load(by_set, self.ranks)
             load = placement.step_load(mapping, by_set) / even
             cost = 1 - benefit.EXPERT_SHARE + benefit.EXPERT_SHARE * load
-            costs.append(cost * (COPYING if now < copied_ms else 1))
+            costs.append(cost * (COPY_SLOWDOWN if now < copied_ms else 1))
             seen.add(now, counts, shape.sets)
-            if coming is None:
-                coming = self.plan(mapping, seen.by_set(shape.sets))
-                if coming is not None:
-                    self.moved += placement.moved(mapping, coming)
-                    most = placement.largest_part(mapping, coming)
+            if next_mapping is None:
+                next_mapping = self.plan(mapping, seen.by_set(shape.sets))
+                if next_mapping is not None:
+                    self.moved += placement.moved(mapping, next_mapping)
+                    most = placement.max_new_experts(mapping, next_mapping)
                     copied_ms = now + most * shape.copy_ms
-                    in_force_ms = copied_ms + ORDERS_MS
+                    in_force_ms = copied_ms + COMMANDS_MS
         self.cost = sum(costs) / len(costs)
         return self
 
@@ -119,10 +120,10 @@
         """Return a map whose benefit justifies its copies, or ``None``."""
         even = placement.even_load(counts, self.ranks)
         before = placement.step_load(mapping, counts)
-        pass_ms = EVEN_PASS_MS * before / even
-        proposed = placement.improve(mapping, counts, self.room)
+        step_ms = EVEN_STEP_MS * before / even
+        proposed = placement.improve(mapping, counts, self.capacity)
         after = placement.step_load(proposed, counts)
         moved = placement.moved(mapping, proposed)
         least = benefit.min_saved_ms(self.shape, moved, self.ranks)
-        saved = benefit.saved_ms(pass_ms, before, after)
+        saved = benefit.saved_ms(step_ms, before, after)
         return proposed if saved >= least else None
--- a/dunlinpoint/experts/tests/ranks.py
+++ b/dunlinpoint/experts/tests/ranks.py
@@ -12,11 +12,11 @@
 
 SIZE = 4
 EPOCH = 1
-PASS_MS = 50
+STEP_MS = 50
 
 
 @attrs.define
-class Standing:
+class SimulatedRank:
     """State of one rank: its maps, for what it is armed, and the step it holds."""
 
     map_version: int = 0
@@ -27,7 +27,7 @@
 
 @attrs.define(eq=False)
 class Ranks:
-    """A group on a simulated clock; ``lose(rank, order)`` makes commands fail.
+    """A group on a simulated clock; ``lose(rank, command)`` makes commands fail.
 
     It returns ``None`` if a command is executed and answered, or the delay in ms
     after which the unanswered command is executed.
@@ -39,35 +39,35 @@
     step: int = 0
     mixed: list = attrs.field(factory=list)
     unreachable: set = attrs.field(factory=set)
-    orders: list = attrs.field(factory=list)
+    executed: list = attrs.field(factory=list)
     by_rank: list = attrs.field(init=False)
     epoch: int = EPOCH
     open: bool = True
 
     def __attrs_post_init__(self):
-        self.by_rank = [Standing() for _ in range(self.size)]
+        self.by_rank = [SimulatedRank() for _ in range(self.size)]
 
     def advance(self, ms):
         for _ in range(ms // 10):
             self.clock.advance(0.01)
 
-    def run_passes(self):
-        loop = task.LoopingCall(self.one_pass)
+    def run_steps(self):
+        loop = task.LoopingCall(self.make_step)
         loop.clock = self.clock
-        loop.start(PASS_MS / 1000)
+        loop.start(STEP_MS / 1000)
 
-    def lose_a_rank(self):
+    def restart_rank(self):
         """Restart a rank: the group breaks, and reopens without its earlier state."""
         self.open = False
-        self.by_rank = [Standing() for _ in range(self.size)]
-        self.clock.callLater(0.6, self.form)
+        self.by_rank = [SimulatedRank() for _ in range(self.size)]
+        self.clock.callLater(0.6, self.reopen)
 
-    def form(self):
+    def reopen(self):
         """Open the group in a new epoch."""
         self.epoch += 1
         self.open = True
 
-    def one_pass(self):
+    def make_step(self):
         if not self.open:
             return
         following = self.step + 1
@@ -81,38 +81,38 @@
         if len(versions) > 1:
             self.mixed.append((following, versions))
 
-    def carry_out(self, number, order):
-        rank, kind = self.by_rank[number], order["operation"]
-        self.orders.append((number, kind))
-        if order["epoch"] != self.epoch or not self.open:
+    def execute(self, number, command):
+        rank, kind = self.by_rank[number], command["operation"]
+        self.executed.append((number, kind))
+        if command["epoch"] != self.epoch or not self.open:
             return 409
         if kind == "prepare":
-            if order["version"] <= max(rank.prepared, rank.map_version) or rank.armed:
+            if command["version"] <= max(rank.prepared, rank.map_version) or rank.armed:
                 return 409
-            rank.prepared = order["version"]
+            rank.prepared = command["version"]
         elif kind == "arm":
-            if rank.prepared != order["version"] or order["step"] <= self.step:
+            if rank.prepared != command["version"] or command["step"] <= self.step:
                 return 409
-            rank.armed = order["version"], order["step"]
+            rank.armed = command["version"], command["step"]
         elif kind == "disarm":
-            if rank.map_version == order["version"]:
+            if rank.map_version == command["version"]:
                 return 409
             rank.armed = None
         elif kind == "retention":
-            if order["step"] <= self.step:
+            if command["step"] <= self.step:
                 return 409
-            rank.held = order["step"]
-        elif kind == "go" and rank.held == order["step"]:
+            rank.held = command["step"]
+        elif kind == "go" and rank.held == command["step"]:
             rank.held = 0
         return 200
 
-    def order(self, number, order):
+    def send(self, number, command):
         if number in self.unreachable:
             return defer.succeed(0)
-        delay_ms = self.lose(number, order)
+        delay_ms = self.lose(number, command)
         if delay_ms is None:
-            return defer.succeed(self.carry_out(number, order))
-        self.clock.callLater(delay_ms / 1000, self.carry_out, number, order)
+            return defer.succeed(self.execute(number, command))
+        self.clock.callLater(delay_ms / 1000, self.execute, number, command)
         return defer.succeed(0)
 
     def state(self, number):
@@ -132,29 +132,31 @@
         )
 
     def states(self):
-        reached = [n for n in range(self.size) if n not in self.unreachable]
-        return defer.succeed({number: self.state(number) for number in reached})
+        reachable = [n for n in range(self.size) if n not in self.unreachable]
+        return defer.succeed({number: self.state(number) for number in reachable})
 
     def group(self):
         def pause(ms):
             return task.deferLater(self.clock, ms / 1000, lambda: None)
 
         def ask(numbers, body=None):
-            return reached.ask_each(numbers, body)
+            return group.ask_each(numbers, body)
 
-        reached = Reached(self.size, ask, self.order, pause, mapping_of=lambda v: [])
-        reached.states = self.states
-        return reached
+        group = SimulatedGroup(
+            self.size, ask, self.send, pause, mapping_of=lambda v: []
+        )
+        group.states = self.states
+        return group
 
 
-class Reached(switch.Group):
+class SimulatedGroup(switch.Group):
     """A group whose ranks get each command directly; then all states are read."""
 
     states = None
 
     @defer.inlineCallbacks
     def ask_each(self, numbers, body):
-        given = [self.order(number, body) for number in numbers] if body else []
+        given = [self.send(number, body) for number in numbers] if body else []
         statuses = dict(zip(numbers, (yield defer.gatherResults(given)), strict=False))
         states = yield self.states()
         return {
--- a/dunlinpoint/experts/tests/test_orders.py
+++ b/dunlinpoint/experts/tests/test_commands.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dunlinpoint.experts import orders
+from dunlinpoint.experts import commands
 
 RANKS, SETS, EXPERTS = 72, 12, 144
 
@@ -22,8 +22,8 @@
         for _ in range(150):
             held = rng.choice(rng.choice(mapping))
             held[rng.randrange(len(held))] = rng.randrange(EXPERTS)
-        order = {"operation": "prepare", "version": version, "mapping": mapping}
-        yield json.dumps(order, separators=(",", ":"))
+        command = {"operation": "prepare", "version": version, "mapping": mapping}
+        yield json.dumps(command, separators=(",", ":"))
 
 
 def receive(known, base, packed):
@@ -31,60 +31,63 @@
     text = known.get(base)
     if text is None:
         return None
-    found = orders.unpack(packed, text)
-    known.keep(found)
+    found = commands.unpack(packed, text)
+    known.add(found)
     return found
 
 
-def test_a_map_travels_as_what_changed():
+def test_a_map_is_sent_as_its_differences():
     # Failure: in a large group whose demand shifts every few seconds, each map is in
     # force 0.6 to 0.8 s after it was planned, most of which its transfer over the
     # leader's link takes. Maps that a planner made one after the other take 1.1 to
     # 1.4 KB, against 3.4 KB without a base.
-    sender, known = orders.Sender(), orders.Texts()
+    sender, known = commands.Sender(), commands.TextCache()
     sizes = []
     for text in texts(5):
         base, packed = sender.pack(3, text)
         assert receive(known, base, packed) == text
-        sender.taken(3, text)
+        sender.acknowledge(3, text)
         sizes.append(len(packed))
     assert max(sizes[1:]) < 0.5 * sizes[0], sizes
 
 
-def test_an_agent_that_restarted_is_sent_the_whole():
+def test_a_restarted_agent_is_sent_the_full_text():
     # Failure: a rank never prepares a map again, or prepares another one, because its
     # agent restarted between two maps and has none of the texts before.
-    sender = orders.Sender()
+    sender = commands.Sender()
     first, second = texts(2)
     sender.pack(3, first)
-    sender.taken(3, first)
+    sender.acknowledge(3, first)
     base, packed = sender.pack(3, second)
-    assert base != orders.NO_BASE
-    assert receive(orders.Texts(), base, packed) is None
-    sender.forget(3)
+    assert base != commands.NO_BASE
+    assert receive(commands.TextCache(), base, packed) is None
+    sender.forget_base(3)
     base, packed = sender.pack(3, second)
-    assert (base, receive(orders.Texts(), base, packed)) == (orders.NO_BASE, second)
+    assert (base, receive(commands.TextCache(), base, packed)) == (
+        commands.NO_BASE,
+        second,
+    )
 
 
-def test_an_order_that_was_not_answered_is_no_base():
+def test_an_unanswered_command_is_no_base():
     # Failure: an agent is repeatedly sent differences to a map that it never received.
-    sender = orders.Sender()
+    sender = commands.Sender()
     first, second = texts(2)
     sender.pack(3, first)
-    assert sender.pack(3, second)[0] == orders.NO_BASE
+    assert sender.pack(3, second)[0] == commands.NO_BASE
 
 
-def test_another_base_is_no_base():
+def test_a_wrong_base_is_rejected():
     # Failure: a map is decoded against the wrong base. The compressed data carries a
     # checksum of its dictionary and one of the text.
     first, second = texts(2)
-    packed = orders.pack(second, first)
+    packed = commands.pack(second, first)
     with pytest.raises(zlib.error):
-        orders.unpack(packed, second)
+        commands.unpack(packed, second)
 
 
-def test_texts_are_bounded():
-    known = orders.Texts()
+def test_the_text_cache_is_bounded():
+    known = commands.TextCache()
     for text in texts(10):
-        known.keep(text)
-    assert len(known.text_by_checksum) == orders.KEPT
+        known.add(text)
+    assert len(known.text_by_checksum) == commands.MAX_TEXTS
--- a/dunlinpoint/experts/tests/test_demand.py
+++ b/dunlinpoint/experts/tests/test_demand.py
@@ -13,25 +13,25 @@
 SECONDS = 24
 # Policy to compare with: as many new experts as a rank has capacity for, planned by
 # the demand of the last seconds.
-ALL_AT_ONCE_MS = 1500
+SLOW_HALF_LIFE_MS = 1500
 
 
-def room_for_all(shape):
+def capacity_for_all(shape):
     return placement.RankCapacity(shape.places, shape.spare, shape.spare * shape.sets)
 
 
 @pytest.mark.parametrize(("shape", "ranks"), [(FEW, 12), (MANY, 24)])
-def test_demand_that_moves_on_within_a_pass(shape, ranks):
+def test_demand_that_shifts_within_a_step(shape, ranks):
     # Failure: demand shifts abruptly to other experts, in one set or another every
     # second. Steps are as long as if no map had been changed, and events miss the
     # callers' latency target, although every map was even when it was planned. Ranks
     # copied for up to 1.7 s, for demand of seconds ago. The cost here is 0.81 (few
     # ranks) and 0.82 (many) of that of such a policy on these seeds.
     counts = list(demand.readings(shape, SECONDS, 3000, seed=5))
-    room = benefit.room_of(shape)
-    found = demand.Follower(shape, ranks, room).follow(counts)
-    before = demand.Follower(shape, ranks, room_for_all(shape), ALL_AT_ONCE_MS)
-    before.follow(counts)
+    capacity = benefit.rank_capacity(shape)
+    found = demand.Follower(shape, ranks, capacity).run(counts)
+    before = demand.Follower(shape, ranks, capacity_for_all(shape), SLOW_HALF_LIFE_MS)
+    before.run(counts)
     assert found.cost < 0.88 * before.cost, (found, before)
     assert found.moved < 1.5 * before.moved
 
@@ -42,8 +42,8 @@
     # take longer because of copies. The bounds follow from maps that no longer change
     # after the first five seconds.
     counts = list(demand.readings(FEW, SECONDS, None, seed=5))
-    room = benefit.room_of(FEW)
-    found = demand.Follower(FEW, 12, room).follow(counts)
+    capacity = benefit.rank_capacity(FEW)
+    found = demand.Follower(FEW, 12, capacity).run(counts)
     first = placement.round_robin(FEW.sets, FEW.experts, 12)
     never = sum(
         placement.step_load(first, by_set(c, FEW))
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize(
     ("shape", "ranks", "bound"), [(FEW, 12, 0.98), (MANY, 24, 0.96), (LARGE, 16, 0.97)]
 )
-def test_what_was_in_demand_before_a_jump_is_forgotten(
+def test_counts_from_before_a_demand_shift_are_discarded(
     monkeypatch, shape, ranks, bound
 ):
     # Failure: after a demand shift, three maps in a row are each a little less wrong,
@@ -70,14 +70,14 @@
     # decayed by half every 300 ms, and influenced each of these maps. The cost here is
     # 0.96, 0.94 and 0.94 of that with decay alone on these seeds.
     counts = list(demand.readings(shape, SECONDS, 3000, seed=5))
-    room = benefit.room_of(shape)
-    found = demand.Follower(shape, ranks, room).follow(counts)
-    monkeypatch.setattr(window, "LEAST_JUMP", 1.0)
-    fading = demand.Follower(shape, ranks, room).follow(counts)
-    assert found.cost < bound * fading.cost, (found, fading)
+    capacity = benefit.rank_capacity(shape)
+    found = demand.Follower(shape, ranks, capacity).run(counts)
+    monkeypatch.setattr(window, "MIN_SHIFT", 1.0)
+    decay_only = demand.Follower(shape, ranks, capacity).run(counts)
+    assert found.cost < bound * decay_only.cost, (found, decay_only)
 
 
-def test_readings_that_differ_as_usual_are_no_jump():
+def test_usual_difference_of_readings_is_no_demand_shift():
     # Failure: every reading is taken for a demand shift, and maps follow single
     # prompts. Few prompts are processed at a time, so each reading differs from the
     # last, and one limit does not fit groups of all sizes. Here 6 of 120 readings of 3
@@ -85,4 +85,4 @@
     seen = window.Window()
     for number, counts in enumerate(demand.readings(FEW, 12, None, seed=5)):
         seen.add(number * demand.READING_MS, counts, FEW.sets)
-    assert seen.jumped < 0.05 * 120 * FEW.sets
+    assert seen.shift_count < 0.05 * 120 * FEW.sets
--- a/dunlinpoint/experts/tests/test_placement.py
+++ b/dunlinpoint/experts/tests/test_placement.py
@@ -20,15 +20,15 @@
     counts = skewed(rng, 2, experts)
     old = placement.round_robin(2, experts, ranks)
     for _ in range(3):
-        room = placement.RankCapacity(places, spare, new=spare)
-        new = placement.improve(old, counts, room)
+        capacity = placement.RankCapacity(places, spare, new=spare)
+        new = placement.improve(old, counts, capacity)
         assert placement.step_load(new, counts) <= placement.step_load(old, counts)
         for before, after in zip(old, new, strict=True):
             assert {e for held in after for e in held} == set(range(experts))
             for was, held in zip(before, after, strict=True):
                 assert len(held) == len(set(held)) <= places
                 assert len(set(held) - set(was)) <= spare
-        assert placement.largest_part(old, new) <= room.new
+        assert placement.max_new_experts(old, new) <= capacity.new
         old, counts = new, skewed(rng, 2, experts)
 
 
@@ -49,8 +49,8 @@
     even = [1.0] * 15 + [1.2]
     hot = [40.0] + [1.0] * 15
     old = placement.round_robin(2, 16, 4)
-    room = placement.RankCapacity(places=6, spare=2, new=1)
-    new = placement.improve(old, [even, hot], room)
+    capacity = placement.RankCapacity(places=6, spare=2, new=1)
+    new = placement.improve(old, [even, hot], capacity)
     assert new[0] == old[0]
     assert sum(0 in held for held in new[1]) == 4
 
@@ -60,17 +60,17 @@
     # counters begin at 0, and their difference to the old reading is counted as
     # choices.
     counter = window.Counter()
-    assert counter.grown([100, 0]) == [0, 0]
-    assert counter.grown([110, 5]) == [10, 5]
-    assert counter.grown([5, 0]) == [0, 0]
-    assert counter.grown([7, 1]) == [2, 1]
+    assert counter.growth([100, 0]) == [0, 0]
+    assert counter.growth([110, 5]) == [10, 5]
+    assert counter.growth([5, 0]) == [0, 0]
+    assert counter.growth([7, 1]) == [2, 1]
 
 
-def test_readings_of_all_ranks_add_up_and_fade():
+def test_readings_of_all_ranks_add_up_and_decay():
     seen = window.Window(half_life_ms=400)
     seen.add(0, window.total([[8, 0], [0, 4]]))
     seen.add(400, window.total([[2, 0], [0, 1]]))
-    assert seen.faded == [6.0, 3.0]
+    assert seen.decayed == [6.0, 3.0]
 
 
 @given(st.lists(st.integers(0, 10**9), min_size=1, max_size=200))
@@ -81,11 +81,11 @@
     assert all(c - within <= f <= c for c, f in zip(counts, found, strict=True))
 
 
-def test_a_restart_that_has_grown_past_its_old_counts_is_no_demand():
+def test_counts_past_the_old_ones_after_a_restart_are_no_demand():
     # Failure: a map is planned for demand that never existed. A restarted rank exceeds
     # its old counts before it is asked again, and only falling counts are taken for a
     # restart.
     counter = window.Counter()
-    counter.grown([100, 0], epoch=1)
-    assert counter.grown([900, 700], epoch=2) == [0, 0]
-    assert counter.grown([910, 705], epoch=2) == [10, 5]
+    counter.growth([100, 0], epoch=1)
+    assert counter.growth([900, 700], epoch=2) == [0, 0]
+    assert counter.growth([910, 705], epoch=2) == [10, 5]
--- a/dunlinpoint/experts/window.py
+++ b/dunlinpoint/experts/window.py
@@ -7,8 +7,8 @@
 Demand does not drift but shifts abruptly: the popular experts of a set change from one
 step to the next and then stay for seconds. If the newest reading of a set differs from
 the decayed counts by more than readings usually do, a demand shift is assumed and the
-older counts are discarded at once (:class:`Jumps`). With decay alone, old demand was
-part of three maps in a row, each a little less wrong than the one before.
+older counts are discarded at once (:class:`DemandShiftDetector`). With decay alone, old
+demand was part of three maps in a row, each a little less wrong than the one before.
 """
 
 import statistics
@@ -23,22 +23,22 @@
 # A reading indicates a demand shift if the share of choices in which it differs from
 # the decayed counts is this many times the usual difference between readings of the
 # set, and at least the second value (a share of 0 to 1).
-JUMP_TIMES = 2.0
-LEAST_JUMP = 0.15
+SHIFT_FACTOR = 2.0
+MIN_SHIFT = 0.15
 # Number of readings from which the usual difference is taken, and the minimum for it.
 USUAL_READINGS = 16
-LEAST_READINGS = 4
+MIN_READINGS = 4
 # Counts are sent as one byte each, the largest of a reading scaled to 128 to 255.
 # Unscaled counters of 24 ranks and 16 sets took 108 KB a reading, a quarter of a second
 # of an agent's link; bytes take 24 KB.
 BYTE_BITS = 8
-FAST = 1
+ZLIB_LEVEL = 1
 
 
 def pack(counts):
     """Encode *counts* (integers) as bytes, each to within 1/128 of the largest."""
     shift = max(0, max(counts, default=0).bit_length() - BYTE_BITS)
-    return bytes([shift]) + zlib.compress(bytes(c >> shift for c in counts), FAST)
+    return bytes([shift]) + zlib.compress(bytes(c >> shift for c in counts), ZLIB_LEVEL)
 
 
 def unpack(data):
@@ -59,7 +59,7 @@
     last: list | None = None
     epoch: int | None = None
 
-    def grown(self, counts, epoch=None):
+    def growth(self, counts, epoch=None):
         """Return the growth since the last call; zeros at first and after a restart.
 
         A restarted rank counts from 0, and its growth would be taken for demand. If
@@ -71,8 +71,8 @@
         self.epoch = epoch
         if last is None or not same or len(last) != len(counts):
             return [0] * len(counts)
-        grown = [after - before for after, before in zip(counts, last, strict=True)]
-        return [0] * len(counts) if min(grown, default=0) < 0 else grown
+        growth = [after - before for after, before in zip(counts, last, strict=True)]
+        return [0] * len(counts) if min(growth, default=0) < 0 else growth
 
 
 def difference(before, after):
@@ -85,22 +85,24 @@
 
 
 @attrs.define
-class Jumps:
+class DemandShiftDetector:
     """Detects demand shifts of one set from the usual difference of its readings."""
 
     differences: list = attrs.field(factory=list)
 
-    def has_jumped(self, before, after):
+    def has_shifted(self, before, after):
         """Whether the reading *after* shows other demand than the average *before*."""
         if not any(after):
             return False
         found = difference(before, after)
-        least = LEAST_JUMP
-        if len(self.differences) >= LEAST_READINGS:
-            least = max(least, JUMP_TIMES * statistics.median(self.differences))
+        threshold = MIN_SHIFT
+        if len(self.differences) >= MIN_READINGS:
+            threshold = max(
+                threshold, SHIFT_FACTOR * statistics.median(self.differences)
+            )
         self.differences.append(found)
         del self.differences[:-USUAL_READINGS]
-        return found > least
+        return found > threshold
 
 
 @attrs.define
@@ -108,35 +110,35 @@
     """Decayed counts over all ranks, without counts from before a demand shift."""
 
     half_life_ms: int = HALF_LIFE_MS
-    faded: list = attrs.field(factory=list)
+    decayed: list = attrs.field(factory=list)
     at_ms: int | None = None
-    jumps_by_set: dict = attrs.field(factory=dict)
-    jumped: int = 0
+    detector_by_set: dict = attrs.field(factory=dict)
+    shift_count: int = 0
 
-    def add(self, now, fresh, sets=1):
+    def add(self, now, counts, sets=1):
         """Add one reading at *now* (ms): the sums over all ranks, set by set.
 
-        *fresh* holds the counts of *sets* sets in one flat list.
+        *counts* holds *sets* sets in one flat list.
         """
-        if self.at_ms is None or len(self.faded) != len(fresh):
-            self.faded = fresh
+        if self.at_ms is None or len(self.decayed) != len(counts):
+            self.decayed = counts
         else:
             keep = 0.5 ** ((now - self.at_ms) / self.half_life_ms)
-            self._fade(keep, fresh, sets)
+            self._decay(keep, counts, sets)
         self.at_ms = now
 
-    def _fade(self, keep, fresh, sets):
-        size = len(fresh) // sets
+    def _decay(self, keep, counts, sets):
+        size = len(counts) // sets
         for number in range(sets):
-            place = slice(number * size, (number + 1) * size)
-            before, after = self.faded[place], fresh[place]
-            jumps = self.jumps_by_set.setdefault(number, Jumps())
-            if jumps.has_jumped(before, after):
-                self.jumped += 1
-                self.faded[place] = after
+            span = slice(number * size, (number + 1) * size)
+            before, after = self.decayed[span], counts[span]
+            detector = self.detector_by_set.setdefault(number, DemandShiftDetector())
+            if detector.has_shifted(before, after):
+                self.shift_count += 1
+                self.decayed[span] = after
             else:
                 pairs = zip(before, after, strict=True)
-                self.faded[place] = [b * keep + a for b, a in pairs]
+                self.decayed[span] = [b * keep + a for b, a in pairs]
 
     def resume(self, now):
         """Continue after an outage in which no expert could be chosen.
@@ -150,5 +152,5 @@
 
     def by_set(self, sets):
         """Return the decayed counts by set and expert."""
-        size = len(self.faded) // sets
-        return [self.faded[i * size : (i + 1) * size] for i in range(sets)]
+        size = len(self.decayed) // sets
+        return [self.decayed[i * size : (i + 1) * size] for i in range(sets)]
