--- a/dunlinpoint/experts/aggregation.py
+++ b/dunlinpoint/experts/aggregation.py
@@ -87,9 +87,9 @@
     largest = math.ceil(math.sqrt(len(peers)))
     subgroups = [[peer] for peer in peers if peer in direct_peers]
     for zone in sorted({peer.zone for peer in peers}):
-        here = [p for p in peers if p.zone == zone and p not in direct_peers]
-        here.sort(key=lambda peer: peer in avoided)
-        subgroups.extend(split(here, math.ceil(len(here) / largest)))
+        in_zone = [p for p in peers if p.zone == zone and p not in direct_peers]
+        in_zone.sort(key=lambda peer: peer in avoided)
+        subgroups.extend(split(in_zone, math.ceil(len(in_zone) / largest)))
     return subgroups
 
 
--- a/dunlinpoint/experts/commands.py
+++ b/dunlinpoint/experts/commands.py
@@ -79,12 +79,12 @@
         """Add *text*; return its checksum, or ``NO_BASE`` if it is too short."""
         if len(text) < MIN_BASE_LENGTH:
             return NO_BASE
-        found = checksum(text)
-        self.text_by_checksum.pop(found, None)
-        self.text_by_checksum[found] = text
+        identifier = checksum(text)
+        self.text_by_checksum.pop(identifier, None)
+        self.text_by_checksum[identifier] = text
         while len(self.text_by_checksum) > MAX_TEXTS:
             del self.text_by_checksum[next(iter(self.text_by_checksum))]
-        return found
+        return identifier
 
     def get(self, base):
         """Return the text of *base*: ``""`` for ``NO_BASE``, ``None`` if unknown."""
@@ -114,9 +114,9 @@
 
     def acknowledge(self, peer, text):
         """Record that the agent at *peer* has *text*."""
-        kept = self.texts.add(text)
-        if kept != NO_BASE:
-            self.base_by_peer[peer] = kept
+        base = self.texts.add(text)
+        if base != NO_BASE:
+            self.base_by_peer[peer] = base
 
     def forget_base(self, peer):
         """Record that the agent at *peer* lacks the base assumed for it."""
--- a/dunlinpoint/experts/group_client.py
+++ b/dunlinpoint/experts/group_client.py
@@ -77,13 +77,13 @@
         known = {peer_of(m): n for n, m in self.member_by_rank.items()}
         unknown = [p for p in map(peer_of, members) if p not in known]
         numbers = sorted(known.values())
-        asking = [self.ask(numbers, own_rank, question, READ_TIMEOUT_MS)]
+        queries = [self.ask(numbers, own_rank, question, READ_TIMEOUT_MS)]
         if unknown:
             # An agent whose rank is unknown may be the holder, so it is asked directly
             # and is not used as an aggregator.
-            asking.append(self._ask_unknown(unknown, question))
+            queries.append(self._ask_unknown(unknown, question))
         answers = {}
-        for result in (yield defer.gatherResults(asking)):
+        for result in (yield defer.gatherResults(queries)):
             answers.update(result)
         return {n: a for n, a in answers.items() if a.state.group == group}
 
@@ -103,13 +103,13 @@
         direct_peers = [
             peer for peer, number in peers.items() if number == switch.STANDBY
         ]
-        asking = [
+        queries = [
             self.handler.fan_out.ask_all(
                 list(peers), question, timeout_ms, direct_peers
             ),
             self._ask_own(question if own_rank in agents else None),
         ]
-        results = yield defer.gatherResults(asking)
+        results = yield defer.gatherResults(queries)
         self._add_counts([counts for result in results for counts in result.counts])
         answers = {a.state.rank: a for result in results for a in result.answers}
         missing = [n for n in numbers if n not in answers and n != switch.STANDBY]
--- a/dunlinpoint/experts/leader.py
+++ b/dunlinpoint/experts/leader.py
@@ -209,10 +209,10 @@
         yield leader.group_client.read(own.group, own.rank, poll_query)
         return
     handler = leader.group_client.handler
-    silent_ms = 0
+    since_query_ms = 0
     if handler.last_query_ms is not None:
-        silent_ms = leader.clock.now() - handler.last_query_ms
-    if silent_ms < LEADER_TIMEOUT_MS or not own.held:
+        since_query_ms = leader.clock.now() - handler.last_query_ms
+    if since_query_ms < LEADER_TIMEOUT_MS or not own.held:
         return
     leader.counters.incr("deputised")
     handler.fenced = True
@@ -267,8 +267,8 @@
     )
     after = placement.step_load(proposed, counts)
     moved = placement.moved(leader.mapping, proposed)
-    least = benefit.min_saved_ms(shape, moved, group.size)
-    if benefit.saved_ms(leader.step_ms, before, after) < least:
+    minimum_ms = benefit.min_saved_ms(shape, moved, group.size)
+    if benefit.saved_ms(leader.step_ms, before, after) < minimum_ms:
         return
     highest = max(max(s.map_version, s.prepared, s.armed) for s in states.values())
     version = max(highest, leader.last_version) + leader.rng.randint(1, MAX_VERSION_GAP)
@@ -312,8 +312,8 @@
             log.error("turn_failed", error=failure.getTraceback())
         return IDLE_INTERVAL_MS
 
-    def schedule(pause_ms):
-        leader.clock.call_later(pause_ms, iterate)
+    def schedule(delay_ms):
+        leader.clock.call_later(delay_ms, iterate)
 
     def iterate():
         run_iteration(leader).addErrback(failed).addCallback(schedule)
--- a/dunlinpoint/experts/messages.py
+++ b/dunlinpoint/experts/messages.py
@@ -7,5 +7,5 @@
 
 
 def state_message(group, progress, experts=None):
-    """Return a ``RankState``; *group* and *standing* are dicts of its fields."""
+    """Return a ``RankState``; *group* and *progress* are dicts of its fields."""
     return ttypes.RankState(**group, **progress, experts=experts)
--- a/dunlinpoint/experts/switch.py
+++ b/dunlinpoint/experts/switch.py
@@ -210,7 +210,7 @@
         "epoch": plan.epoch,
         "mapping": plan.mapping,
     }
-    start_ms, waited_ms, pause_ms = group.now(), 0, plan.copy_ms
+    start_ms, waited_ms, delay_ms = group.now(), 0, plan.copy_ms
     while True:
         answers = yield group.ask(group.ranks, command)
         states = states_of(answers, plan.epoch)
@@ -227,9 +227,9 @@
             raise SwitchError(f"prepare refused at ranks {refused}")
         if max(waited_ms, group.now() - start_ms) >= COPY_TIMEOUT_MS:
             raise SwitchError(f"ranks {pending} did not prepare the map in time")
-        yield group.sleep(pause_ms)
-        waited_ms += pause_ms
-        pause_ms = POLL_INTERVAL_MS
+        yield group.sleep(delay_ms)
+        waited_ms += delay_ms
+        delay_ms = POLL_INTERVAL_MS
 
 
 @defer.inlineCallbacks
--- a/dunlinpoint/experts/tests/agents.py
+++ b/dunlinpoint/experts/tests/agents.py
@@ -86,13 +86,13 @@
             return
         inbox = self.inbox_by_frozen[number] = []
 
-        def wake():
+        def resume():
             del self.inbox_by_frozen[number]
             self.rng.shuffle(inbox)
             for deliver in inbox:
                 deliver()
 
-        self.ranks.clock.callLater(for_ms / 1000, wake)
+        self.ranks.clock.callLater(for_ms / 1000, resume)
 
     def kill(self, number, back_ms):
         """Kill the agent's process, and restart it after *back_ms*."""
--- a/dunlinpoint/experts/tests/demand.py
+++ b/dunlinpoint/experts/tests/demand.py
@@ -90,7 +90,7 @@
         """Process all readings; return this object."""
         shape = self.shape
         mapping = placement.round_robin(shape.sets, shape.experts, self.ranks)
-        seen = window.Window(self.half_life_ms)
+        recent = window.Window(self.half_life_ms)
         next_mapping, in_force_ms, copied_ms = None, 0, 0
         costs = []
         for number, counts in enumerate(counts_by_reading):
@@ -105,9 +105,9 @@
             load = placement.step_load(mapping, by_set) / even
             cost = 1 - benefit.EXPERT_SHARE + benefit.EXPERT_SHARE * load
             costs.append(cost * (COPY_SLOWDOWN if now < copied_ms else 1))
-            seen.add(now, counts, shape.sets)
+            recent.add(now, counts, shape.sets)
             if next_mapping is None:
-                next_mapping = self.plan(mapping, seen.by_set(shape.sets))
+                next_mapping = self.plan(mapping, recent.by_set(shape.sets))
                 if next_mapping is not None:
                     self.moved += placement.moved(mapping, next_mapping)
                     most = placement.max_new_experts(mapping, next_mapping)
@@ -124,6 +124,6 @@
         proposed = placement.improve(mapping, counts, self.capacity)
         after = placement.step_load(proposed, counts)
         moved = placement.moved(mapping, proposed)
-        least = benefit.min_saved_ms(self.shape, moved, self.ranks)
+        minimum_ms = benefit.min_saved_ms(self.shape, moved, self.ranks)
         saved = benefit.saved_ms(step_ms, before, after)
-        return proposed if saved >= least else None
+        return proposed if saved >= minimum_ms else None
--- a/dunlinpoint/experts/tests/test_demand.py
+++ b/dunlinpoint/experts/tests/test_demand.py
@@ -45,12 +45,12 @@
     capacity = benefit.rank_capacity(FEW)
     found = demand.Follower(FEW, 12, capacity).run(counts)
     first = placement.round_robin(FEW.sets, FEW.experts, 12)
-    never = sum(
+    unchanged = sum(
         placement.step_load(first, by_set(c, FEW))
         / placement.even_load(by_set(c, FEW), 12)
         for c in counts
     ) / len(counts)
-    assert found.cost < 0.7 * never
+    assert found.cost < 0.7 * unchanged
     assert found.moved < 12 * SECONDS
 
 
@@ -82,7 +82,7 @@
     # prompts. Few prompts are processed at a time, so each reading differs from the
     # last, and one limit does not fit groups of all sizes. Here 6 of 120 readings of 3
     # sets are taken for a shift, most while the usual difference is not known yet.
-    seen = window.Window()
+    recent = window.Window()
     for number, counts in enumerate(demand.readings(FEW, 12, None, seed=5)):
-        seen.add(number * demand.READING_MS, counts, FEW.sets)
-    assert seen.shift_count < 0.05 * 120 * FEW.sets
+        recent.add(number * demand.READING_MS, counts, FEW.sets)
+    assert recent.shift_count < 0.05 * 120 * FEW.sets
--- a/dunlinpoint/experts/tests/test_placement.py
+++ b/dunlinpoint/experts/tests/test_placement.py
@@ -67,10 +67,10 @@
 
 
 def test_readings_of_all_ranks_add_up_and_decay():
-    seen = window.Window(half_life_ms=400)
-    seen.add(0, window.total([[8, 0], [0, 4]]))
-    seen.add(400, window.total([[2, 0], [0, 1]]))
-    assert seen.decayed == [6.0, 3.0]
+    recent = window.Window(half_life_ms=400)
+    recent.add(0, window.total([[8, 0], [0, 4]]))
+    recent.add(400, window.total([[2, 0], [0, 1]]))
+    assert recent.decayed == [6.0, 3.0]
 
 
 @given(st.lists(st.integers(0, 10**9), min_size=1, max_size=200))
--- a/dunlinpoint/experts/window.py
+++ b/dunlinpoint/experts/window.py
@@ -94,15 +94,15 @@
         """Whether the reading *after* shows other demand than the average *before*."""
         if not any(after):
             return False
-        found = difference(before, after)
+        share = difference(before, after)
         threshold = MIN_SHIFT
         if len(self.differences) >= MIN_READINGS:
             threshold = max(
                 threshold, SHIFT_FACTOR * statistics.median(self.differences)
             )
-        self.differences.append(found)
+        self.differences.append(share)
         del self.differences[:-USUAL_READINGS]
-        return found > threshold
+        return share > threshold
 
 
 @attrs.define
@@ -123,11 +123,11 @@
         if self.at_ms is None or len(self.decayed) != len(counts):
             self.decayed = counts
         else:
-            keep = 0.5 ** ((now - self.at_ms) / self.half_life_ms)
-            self._decay(keep, counts, sets)
+            weight = 0.5 ** ((now - self.at_ms) / self.half_life_ms)
+            self._decay(weight, counts, sets)
         self.at_ms = now
 
-    def _decay(self, keep, counts, sets):
+    def _decay(self, weight, counts, sets):
         size = len(counts) // sets
         for number in range(sets):
             span = slice(number * size, (number + 1) * size)
@@ -138,7 +138,7 @@
                 self.decayed[span] = after
             else:
                 pairs = zip(before, after, strict=True)
-                self.decayed[span] = [b * keep + a for b, a in pairs]
+                self.decayed[span] = [b * weight + a for b, a in pairs]
 
     def resume(self, now):
         """Continue after an outage in which no expert could be chosen.
