--- a/dunlinpoint/experts/engine.py
+++ b/dunlinpoint/experts/engine.py
@@ -1,8 +1,8 @@
-"""One rank's engine, as its agent or a lead calls it.
+"""HTTP client of one rank's engine, for its agent or a leader.
 
-The agent stands beside its rank's engine, whose report is fresh there and
-costs the group nothing; read from another machine, a reading of the counts
-stops the whole group for a moment.
+The agent runs on the same host as its rank's engine, where reports are fresh and
+reading them costs the group nothing. Reading the counts from another machine stops the
+whole group for a moment.
 """
 
 from __future__ import annotations
@@ -15,48 +15,48 @@
 from dunlinpoint import clock
 
 TIMEOUT_MS = 700
-# An order's answer comes at once or not at all; it is given again sooner.
-ORDER_TIMEOUT_MS = 150
+# A command is answered at once or not at all, so it is repeated sooner than a read.
+COMMAND_TIMEOUT_MS = 150
 
 
 class RankError(Exception):
-    """The rank's engine did not answer, or not as a rank of a group."""
+    """The engine did not answer, or its answer is not that of a rank of a group."""
 
 
 @attrs.frozen
 class EnginePaths:
-    """Paths of an engine's own interface."""
+    """URL paths of an engine's own interface."""
 
     report: str = "/api/report"
     counts: str = "/api/picked"
     experts: str = "/api/picked?lists=1"
-    order: str = "/api/order"
+    command: str = "/api/order"
 
 
 @attrs.frozen
 class Engine:
-    """The engine of one rank at *url*."""
+    """The engine of one rank at *address* (``host:port``)."""
 
     address: str
-    calls: EnginePaths
+    paths: EnginePaths
     read_state: object
     http: treq.client.HTTPClient
 
     @classmethod
-    def from_config(cls, reactor, address, calls, read_state):
-        """The engine at *address*; *read_state* turns its bodies into ours."""
+    def from_config(cls, reactor, address, paths, read_state):
+        """The engine at *address*; *read_state* makes a ``RankState`` of its bodies."""
         pool = client.HTTPConnectionPool(reactor, persistent=True)
         pool.retryAutomatically = False
         agent = client.Agent(reactor, pool=pool)
         http = treq.client.HTTPClient(agent)
-        return cls(address, calls, read_state, http)
+        return cls(address, paths, read_state, http)
 
     @property
     def url(self):
         return f"http://{self.address}"
 
     def at(self, address):
-        """The engine of another rank, at *address*."""
+        """Return a client of another rank's engine, at *address*."""
         return attrs.evolve(self, address=address)
 
     @defer.inlineCallbacks
@@ -72,12 +72,12 @@
 
     @defer.inlineCallbacks
     def state(self, experts=False):
-        """The rank's ``RankState``, with its *experts* if asked for.
+        """A Deferred of the rank's ``RankState``, with its experts if *experts*.
 
-        Raises ``RankError``, like :meth:`counts`.
+        Fails with ``RankError``, like :meth:`counts`.
         """
-        report = yield self._get(self.calls.report)
-        lists = (yield self._get(self.calls.experts)) if experts else None
+        report = yield self._get(self.paths.report)
+        lists = (yield self._get(self.paths.experts)) if experts else None
         try:
             return self.read_state(report, lists)
         except (KeyError, TypeError) as exc:
@@ -85,19 +85,19 @@
 
     @defer.inlineCallbacks
     def counts(self):
-        """How often each expert of each set was chosen since the rank's start."""
-        picked = yield self._get(self.calls.counts)
+        """A Deferred of how often each expert of each set was chosen since start-up."""
+        picked = yield self._get(self.paths.counts)
         try:
             return picked["counts"]
         except (KeyError, TypeError) as exc:
             raise RankError(f"not a rank's counts: {exc!r}") from exc
 
     @defer.inlineCallbacks
-    def order(self, body_json, timeout_ms=ORDER_TIMEOUT_MS):
-        """Give the engine an order; its status, or 0 for no answer."""
+    def send_command(self, body_json, timeout_ms=COMMAND_TIMEOUT_MS):
+        """Send the engine a command; a Deferred of its status, or 0 for no answer."""
         try:
             response = yield self.http.post(
-                self.url + self.calls.order,
+                self.url + self.paths.command,
                 data=body_json.encode(),
                 headers={"Content-Type": "application/json"},
                 timeout=clock.seconds(timeout_ms),
--- a/dunlinpoint/experts/tests/agents.py
+++ b/dunlinpoint/experts/tests/agents.py
@@ -1,7 +1,7 @@
-"""Ranks' agents on a simulated network, beside stand-ins for engines.
+"""Ranks' agents on a simulated network, next to simulated engines.
 
-Messages take time, an agent freezes with those that reach it and takes them in some
-order when it wakes, and one that dies is another when it is back.
+Messages take time. A frozen agent gets the messages that reach it in random order when
+it resumes, and a killed one restarts without its state.
 """
 
 import json
@@ -12,24 +12,24 @@
 
 from dunlinpoint import clock as clocks
 from dunlinpoint import metrics
-from dunlinpoint.experts import dispatcher, gather, rank, reach
-from dunlinpoint.experts.tests import ranks as standins
+from dunlinpoint.experts import aggregation, dispatcher, group_client, rank
+from dunlinpoint.experts.tests import ranks as simulated
 from dunlinpoint.wire import errors
 from dunlinpoint.wire.gen.dunlin import ttypes
 
 ZONES = ("a", "b")
-WAY_MS = 2
+ONE_WAY_MS = 2
 
 
 @attrs.define
 class Engine:
-    """One rank's engine, as its agent calls it."""
+    """One rank's engine, with the interface that its agent calls."""
 
-    ranks: standins.Ranks
+    ranks: simulated.Ranks
     number: int
 
-    def order(self, text, timeout_ms=150):
-        answer = self.ranks.order(self.number, json.loads(text))
+    def send_command(self, text, timeout_ms=150):
+        answer = self.ranks.send(self.number, json.loads(text))
         if answer.result:
             return answer
         return later(self.ranks.clock, timeout_ms, lambda: 0)
@@ -45,7 +45,7 @@
 
 
 def later(reactor, ms, action):
-    """A Deferred of what *action* returns *ms* from now."""
+    """Return a Deferred that fires with the result of *action* after *ms*."""
     fired = defer.Deferred()
     reactor.callLater(ms / 1000, lambda: fired.callback(action()))
     return fired
@@ -53,9 +53,9 @@
 
 @attrs.define(eq=False)
 class Network:
-    """Agents of all ranks of one group, by their port, which is their rank."""
+    """Agents of all ranks of one group, by port; the port is the rank."""
 
-    ranks: standins.Ranks
+    ranks: simulated.Ranks
     rng: random.Random
     handler_by_port: dict = attrs.field(factory=dict)
     inbox_by_frozen: dict = attrs.field(factory=dict)
@@ -69,42 +69,42 @@
             self.start(number)
 
     def start(self, number):
-        """An agent starts (again), knowing nothing."""
+        """Start or restart an agent, without any state."""
         self.dead.discard(number)
         reactor, engine = self.ranks.clock, Engine(self.ranks, number)
-        asker = gather.Asker(clocks.Clock(reactor), self)
+        fan_out = aggregation.FanOutClient(clocks.Clock(reactor), self)
         self.handler_by_port[number] = rank.Handler(
             engine,
             clocks.Clock(reactor),
-            asker,
-            dispatcher.Giver(engine, clocks.Clock(reactor)),
+            fan_out,
+            dispatcher.Dispatcher(engine, clocks.Clock(reactor)),
         )
 
     def freeze(self, number, for_ms):
-        """The agent's machine is suspended, and takes all in when it wakes."""
+        """Suspend the agent's machine; on resuming it handles all its messages."""
         if number in self.inbox_by_frozen:
             return
         inbox = self.inbox_by_frozen[number] = []
 
-        def wake():
+        def resume():
             del self.inbox_by_frozen[number]
             self.rng.shuffle(inbox)
             for deliver in inbox:
                 deliver()
 
-        self.ranks.clock.callLater(for_ms / 1000, wake)
+        self.ranks.clock.callLater(for_ms / 1000, resume)
 
     def kill(self, number, back_ms):
-        """The agent's process dies, and is back later."""
+        """Kill the agent's process, and restart it after *back_ms*."""
         self.dead.add(number)
         self.ranks.clock.callLater(back_ms / 1000, self.start, number)
 
     def to(self, host, port):
-        """The link to the agent at *port*."""
+        """Return the connection to the agent at *port*."""
         return Link(self, port)
 
     def members(self):
-        """Members as the agents announce themselves."""
+        """Return the members as the agents announce themselves."""
         return [
             ttypes.Member(
                 endpoint_id=f"rank-{n}",
@@ -119,13 +119,13 @@
         ]
 
     def live(self, kind):
-        """As a ``View`` tells them."""
+        """Return the live members, like ``View``."""
         return self.members()
 
-    def reach(self, number):
-        """How the agent of rank *number* reaches the group as its lead or deputy."""
+    def group_client(self, number):
+        """Return the client of rank *number*'s agent, as leader or standby."""
         ms_clock = clocks.Clock(self.ranks.clock)
-        found = reach.Reach(
+        found = group_client.GroupClient(
             self.handler_by_port[number], self, ms_clock, metrics.Counters(None)
         )
         found.member_by_rank = dict(enumerate(self.members()))
@@ -171,25 +171,25 @@
             net.messages_by_port[self.port] = net.messages_by_port.get(self.port, 0) + 1
             net.on_message(self.port, question)
             handler = net.handler_by_port[self.port]
-            back_ms = WAY_MS + net.slow_ms_by_port.get(self.port, 0)
+            back_ms = ONE_WAY_MS + net.slow_ms_by_port.get(self.port, 0)
             answer = defer.maybeDeferred(handler.ask, question)
             answer.addCallback(lambda r: later(reactor, back_ms, lambda: r))
             answer.addCallbacks(done, failed)
 
-        reactor.callLater(WAY_MS / 1000, deliver)
+        reactor.callLater(ONE_WAY_MS / 1000, deliver)
         return outer
 
 
-class Silent:
-    """A connection on which nothing is sent any more."""
+class SilentLink:
+    """A connection that sends nothing any more."""
 
     def call(self, method, question, timeout_ms):
         return defer.Deferred()
 
 
 @attrs.define
-class Held:
-    """A connection whose messages leave *ms* later, as a machine that froze wakes."""
+class DelayedLink:
+    """A connection that sends messages *ms* late, like a machine that froze."""
 
     link: Link
     ms: int
