--- a/dunlinpoint/config/document.py
+++ b/dunlinpoint/config/document.py
@@ -1,6 +1,6 @@
 """The operators' configuration document, format 1.
 
-The console turns an operator's forms into one JSON document::
+The console generates one JSON document from an operator's forms::
 
     {
       "format": 1,
@@ -16,13 +16,13 @@
                   "split": [{"service": "booking", "weight": 1}]}]
     }
 
-``leaving`` names endpoints that get no new work. ``number`` is the console's
-own count of its documents, kept beside the version and never lowered;
-``origin`` is the console's text as it was sent, given back unchanged on a
-read. Control assigns the version when it accepts a document; the document
-itself carries none, so an operator cannot write one that looks newer than it is.
-:func:`parse` raises :class:`DocumentError`, an exception group holding one
-:class:`FieldError` per problem, so an operator sees every problem at once.
+``leaving`` lists endpoints that get no new requests. ``number`` is the console's
+own counter of its documents, kept beside the version and never decreased;
+``origin`` is the console's original text, returned unchanged on a read. Control
+assigns the version when it accepts a document; the document itself contains
+none, so an operator cannot write one that appears newer than it is.
+:func:`parse` raises :class:`DocumentError`, an exception group with one
+:class:`FieldError` per problem, so that all problems are reported at once.
 """
 
 import collections
@@ -32,20 +32,20 @@
 import cattrs
 
 FORMAT = 1
-# Operations that may not be repeated when a document names none.
+# Operations that must not be repeated when no document lists any.
 NON_IDEMPOTENT = frozenset({"slot_confirm", "slot_release", "dues_charge"})
 IDEMPOTENT = "idempotent"
 NON_IDEMPOTENT_KIND = "non_idempotent"
 STREAMING = "streaming"
 KINDS = frozenset({IDEMPOTENT, NON_IDEMPOTENT_KIND, STREAMING})
-# A workspace limit that no workspace reaches.
+# A ``max_in_flight`` that is never reached.
 NO_LIMIT = 1 << 30
 MAX_RANKS = 1024
 MAX_EXPERTS = 4096
 
 
 class FieldError(ValueError):
-    """One problem in a document, at a dotted *path*."""
+    """A problem in a document at *path*, such as ``groups[0].ranks``."""
 
     def __init__(self, path, problem):
         super().__init__(f"{path}: {problem}")
@@ -54,7 +54,7 @@
 
 
 class DocumentError(ExceptionGroup):
-    """A document that cannot be accepted; ``exceptions`` are ``FieldError``."""
+    """An invalid document; ``exceptions`` holds a ``FieldError`` per problem."""
 
     def __new__(cls, problems):
         return super().__new__(cls, "invalid document", problems)
@@ -68,7 +68,11 @@
 
 @attrs.frozen
 class Group:
-    """A group of ranks in lock-step on one expert map."""
+    """A group of ranks that run in lock-step with one expert map.
+
+    *skew_weight*, 0.0 to 1.0, weighs reduced skew against the cost of moving experts
+    when a new map is planned (1.0: only the skew counts).
+    """
 
     name: str
     ranks: int
@@ -78,11 +82,11 @@
 
 @attrs.frozen
 class Experts:
-    """The layers of a model whose ranks are endpoints of a service.
+    """The expert layers of a model whose ranks are endpoints of a service.
 
-    Each of *sets* sets of layers has *experts* experts; a rank has room for
-    *places* of a set and can copy *spare* new ones at once, each in *copy_ms*
-    (ms; 0 if not known). *skew_weight* is as in :class:`Group`.
+    Each of *sets* sets of layers has *experts* experts. A rank can hold *places*
+    experts of a set and copy *spare* new ones at once, each in *copy_ms* (0: not
+    known). *skew_weight* is as in :class:`Group`.
     """
 
     sets: int
@@ -95,7 +99,7 @@
 
 @attrs.frozen
 class Service:
-    """A service, the operations that may not be repeated, and its experts."""
+    """A service, its operations that must not be repeated, and its experts."""
 
     name: str
     non_idempotent: list[str] = attrs.field(factory=list)
@@ -104,7 +108,7 @@
 
 @attrs.frozen
 class Share:
-    """A service's part of a route's requests."""
+    """A service's share of a route's requests, in proportion to *weight*."""
 
     service: str
     weight: float = 1.0
@@ -112,14 +116,14 @@
 
 @attrs.frozen
 class Route:
-    """Which service callers' HTTP requests to a host and path prefix go to.
-
-    ``kind`` says what may be repeated: :data:`IDEMPOTENT` requests may run
-    again, :data:`NON_IDEMPOTENT_KIND` ones at most once, :data:`STREAMING`
-    ones only where ``resumable``. ``timeout_ms`` is the longest a caller is
-    kept waiting, ``aim_ms`` the time an answer should take, ``pause_ms`` the
-    longest pause between a stream's events that is in time (0: none is set),
-    ``max_attempts`` the most endpoints one request may be sent to.
+    """The services for callers' HTTP requests to a host and path prefix.
+
+    ``kind`` determines what may be repeated: :data:`IDEMPOTENT` requests may run
+    again, :data:`NON_IDEMPOTENT_KIND` ones run at most once, :data:`STREAMING`
+    ones are repeated only if ``resumable``. ``timeout_ms`` is the longest time a
+    caller waits, ``aim_ms`` the latency target of an answer, ``pause_ms`` the
+    longest acceptable inter-event gap of a stream (0: no target is set),
+    ``max_attempts`` the most endpoints that one request may be sent to.
     """
 
     name: str
@@ -138,7 +142,7 @@
 
 @attrs.frozen
 class Limits:
-    """What callers may send, and for how long they may stay idle."""
+    """Limits of callers' requests: sizes in bytes, times in ms."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
@@ -150,7 +154,7 @@
 class Workspace:
     """A customer's workspace, its priority and its limit of requests in flight.
 
-    0 is the most urgent; without a priority of its own, a request has its route's.
+    Priority 0 is the most urgent; with ``None``, the route's priority applies.
     """
 
     name: str
@@ -161,7 +165,7 @@
 
 @attrs.frozen
 class Document:
-    """One whole configuration, as operators wrote it."""
+    """A complete configuration as written by operators."""
 
     format: int
     name: str
@@ -214,7 +218,7 @@
 
 
 def _check_routes(doc):
-    """Problems of the routes: each must lead somewhere, and only one way."""
+    """Problems of the routes: known services, valid weights, no duplicates."""
     problems = []
     services = {service.name for service in doc.services}
     seen = set()
@@ -247,7 +251,7 @@
 
 
 def _check_keys(doc):
-    """Problems of the workspaces' keys: a key must name one workspace."""
+    """Problems of the workspaces' keys: a key must belong to one workspace."""
     problems = []
     holder_by_key = {}
     for i, workspace in enumerate(doc.workspaces):
@@ -261,7 +265,7 @@
 
 
 def parse(text):
-    """The ``Document`` in JSON *text*; raises ``DocumentError``."""
+    """The ``Document`` in JSON *text*; raises ``DocumentError`` if invalid."""
     try:
         raw = json.loads(text)
     except ValueError as exc:
@@ -283,12 +287,13 @@
 
 
 def parse_for_ranks(text, service):
-    """What the ranks of *service* need of the accepted document in JSON *text*.
+    """The part of the accepted document in JSON *text* that ranks of *service* need.
 
-    Its ``Experts`` or ``None``, and the shortest pause between events (ms) that a
-    route to it allows, or 0. Parsing and checking all of a document of 1,400 routes
-    takes a lead three to four times as long (18 ms of a core and more of its share of
-    one); what controls have accepted needs no check.
+    Returns ``(experts, gap_ms)``: the service's ``Experts`` or ``None``, and the
+    shortest inter-event gap that a route to it sets as target, or 0. Parsing and
+    validating a document of 1,400 routes in full takes three to four times as long
+    (18 ms of a core, and more for a group leader that has only a share of one); a
+    document that controls have accepted needs no validation.
     """
     raw = json.loads(text)
     found = [s for s in raw["services"] if s["name"] == service and s.get("experts")]
--- a/dunlinpoint/config/packed.py
+++ b/dunlinpoint/config/packed.py
@@ -1,7 +1,7 @@
-"""The document's text as it travels and is stored: compressed.
+"""Compression of the document's text for transfer and storage.
 
-A document of some hundred routes is a hundred kilobytes of JSON that says
-the same words again and again, and every change crosses every zone.
+A document of some hundred routes is about 100 KB of highly repetitive JSON, and
+every change is sent to every zone.
 """
 
 import base64
@@ -24,7 +24,7 @@
 
 
 def from_saved(text):
-    """The compressed data of a JSON file's *text*."""
+    """The compressed data in *text* of a JSON file."""
     return base64.b64decode(text)
 
 
--- a/dunlinpoint/config/tests/test_document.py
+++ b/dunlinpoint/config/tests/test_document.py
@@ -1,4 +1,4 @@
-"""The operators' document: what is accepted, and how refusals read."""
+"""The operators' document: validation and the text of its errors."""
 
 import json
 import time
@@ -80,15 +80,15 @@
 
 
 def test_what_ranks_need_of_a_large_document_is_read_quickly():
-    # Pattern: 1,400 routes that change each 0.3 s, with a lead that has a third of a
-    # core. Ratio against parsing all of it, 3.4 times as long here.
+    # With 1,400 routes that change every 0.3 s, a group leader that has a third of a
+    # core is overloaded by parsing the whole document, which takes 3.4 times as long.
     text = large_document(1400)
     whole = seconds(config.parse, text)
     assert seconds(config.parse_for_ranks, text, "model") < 0.5 * whole
 
 
 def seconds(func, *args):
-    """Processor time of the quickest of three calls."""
+    """The processor time of the fastest of three calls, in seconds."""
     took = []
     for _ in range(3):
         began = time.process_time()
--- a/dunlinpoint/control/acceptor.py
+++ b/dunlinpoint/control/acceptor.py
@@ -1,9 +1,9 @@
-"""One acceptor: what a control instance has promised, accepted and learned.
+"""The acceptor: the promises, accepted and committed decision of an instance.
 
-All of it is on disk before any answer that counts. ``node_id`` names the
-voter that this disk belongs to. An instance that starts with an empty disk
-gets a new one and votes once the others have made it a voter; only the
-founding instances of a deployment know theirs beforehand.
+The state is on disk before any answer that others rely on. ``node_id``
+identifies the voter that the state belongs to. An instance that starts with an
+empty disk draws a new id and votes once the others have made it a voter; only
+the founding instances of a deployment derive theirs from their addresses.
 """
 
 from __future__ import annotations
@@ -17,17 +17,18 @@
 
 log = logs.logger("control")
 
-# How many change ids are remembered, so that a change sent again is known.
+# Change ids kept to recognise retried changes.
 HISTORY = 1024
-# A ballot is a number of tries above the id of the one who tries.
+# A ballot has its counter above the low 32 bits, which identify the proposer.
 BALLOT_STRIDE = 1 << 32
 
 
 @attrs.frozen
 class Decision:
-    """What one round decided: a document and the next round's voters.
+    """The decision of one round: a document and the next round's voters.
 
-    ``version`` counts documents; a change of voters keeps it.
+    ``version`` counts documents; a change of voters keeps it. ``body`` is the
+    compressed document, ``voters`` a tuple of ``voters.Voter``.
     """
 
     round: int = 0
@@ -38,7 +39,7 @@
 
     @classmethod
     def from_message(cls, message):
-        """The decision of a ``Document`` message."""
+        """The decision in a ``Document`` message."""
         named = tuple(voters.Voter.from_message(v) for v in message.voters or ())
         return cls(
             message.round or 0,
@@ -50,7 +51,7 @@
 
     @classmethod
     def from_saved(cls, saved):
-        """The decision of a JSON file's dict."""
+        """The decision in a dict of the state file."""
         fields = dict(saved)
         fields["body"] = packed.from_saved(saved["body"])
         fields["voters"] = tuple(voters.Voter(*v) for v in saved["voters"])
@@ -67,7 +68,7 @@
         )
 
     def to_saved(self):
-        """This decision as a dict for a JSON file."""
+        """This decision as a dict for the state file."""
         return {
             "round": self.round,
             "version": self.version,
@@ -79,10 +80,12 @@
 
 @attrs.define
 class Acceptor:
-    """One acceptor's durable state, saved before every answer that counts.
+    """An acceptor's durable state, saved before every answer that others rely on.
 
-    ``unfounded`` holds while the instance does not know whether it is a
-    founder that starts for the first time or one that lost its disk.
+    ``unfounded`` is set while it is unknown whether this is a founder's first
+    start or a founder that lost its disk. ``recent`` holds the last
+    ``[change_id, version]`` pairs. The callables in ``on_learn`` are called
+    without arguments after each new decision.
     """
 
     store: store.Store
@@ -99,11 +102,11 @@
 
     @classmethod
     def from_config(cls, folder, own=None, founders=(), bootstrap=True):
-        """The acceptor saved under *folder*, or a new one.
+        """The acceptor saved in *folder*, or a new one.
 
-        *founders* are the voters of the first round and *own* the one of
-        them that this instance would be, if any. *bootstrap* says that a
-        missing state is a first start; without it, it may be a lost disk.
+        *founders* are the voters of the first round; *own* is the one with this
+        instance's address, if any. With *bootstrap*, missing state means a first
+        start; without it, the disk may have been lost.
         """
         kept = store.Store(folder)
         saved = kept.load()
@@ -116,8 +119,8 @@
             acceptor = cls(
                 kept,
                 voters.new_id(),
-                # Without being told that this is a first start, the addresses
-                # it was told may be other instances' than the founders'.
+                # Without *bootstrap* the seed addresses may belong to other
+                # instances than the founders.
                 committed=first if bootstrap else Decision(),
                 unfounded=own is not None,
             )
@@ -126,7 +129,7 @@
 
     @classmethod
     def from_saved(cls, kept, saved, own, first):
-        """The acceptor of a state file's dict *saved*."""
+        """The acceptor in *saved*, the dict of a state file."""
         if "node_id" not in saved:
             saved = _with_voters(saved, own, first)
         accepted = saved["accepted"]
@@ -161,16 +164,16 @@
 
     @property
     def settled(self):
-        """Whether no accepted decision of unknown fate is held."""
+        """Whether no decision is accepted here that may or may not be chosen."""
         return self.accepted is None
 
     @property
     def votes(self):
-        """Whether this acceptor is a voter of the round to come."""
+        """Whether this acceptor is a voter of the next round."""
         return any(v.node_id == self.node_id for v in self.committed.voters)
 
     def _promise(self, ok, known_round):
-        """The state as a message, the last text only above *known_round*."""
+        """The state as a message, with the committed text if above *known_round*."""
         return ttypes.Promise(
             ok=ok,
             promised=self.promised,
@@ -180,7 +183,7 @@
         )
 
     def inspect(self, known_round, node_id):
-        """The state as it stands, promising nothing."""
+        """The current state as a ``Promise`` message, without promising anything."""
         return self._promise(node_id == self.node_id, known_round)
 
     def _move_to(self, number):
@@ -191,7 +194,7 @@
             self.accepted = None
 
     def prepare(self, number, ballot, node_id):
-        """Promise *ballot* for round *number* if nothing higher was promised."""
+        """Promise *ballot* for round *number* if it exceeds the one promised."""
         self.highest_ballot = max(self.highest_ballot, ballot)
         if node_id != self.node_id or number < self.round:
             return self._promise(False, number - 1)
@@ -203,7 +206,7 @@
         return self._promise(ok, number - 1)
 
     def accept(self, number, ballot, document, node_id):
-        """Accept *document* for round *number* under *ballot*; whether done."""
+        """Accept *document* for round *number* under *ballot*; whether accepted."""
         if node_id != self.node_id or number < self.round:
             return False
         self._move_to(number)
@@ -216,7 +219,7 @@
         return True
 
     def take(self, decision):
-        """Take what a round decided; ``True`` when it is newer than ours."""
+        """Commit *decision* if it is newer than the committed one; whether it was."""
         if decision.round <= self.committed.round or decision.body is None:
             return False
         changed = decision.version != self.committed.version
@@ -230,8 +233,8 @@
         try:
             self.save()
         except store.StoreError as exc:
-            # A majority holds the decision, so it is in force whatever this
-            # disk says; a full one must not make its operator hear a failure.
+            # A majority holds the decision, so it is in force even if this disk
+            # is full; the failure must not be reported to the operator.
             log.error("decision_not_saved", round=decision.round, error=str(exc))
         log.info(
             "decided",
@@ -244,18 +247,18 @@
         return True
 
     def learn(self, chosen, ballot):
-        """What was accepted under *ballot* for *chosen*'s round was chosen.
+        """Commit the decision accepted under *ballot*, which was chosen.
 
-        *chosen* is a ``Document`` message without its body. One accepted
-        under another ballot may be another document; then the next catch-up
-        brings the chosen one.
+        *chosen* is its ``Document`` message without the body. A decision
+        accepted here under another ballot may differ, so it is not committed;
+        the next catch-up fetches the chosen one.
         """
         if self.round == chosen.round and self.accepted:
             if self.accepted_ballot == ballot:
                 self.take(self.accepted)
 
     def found(self, own, founders, states):
-        """Become the founder *own*, bound by what the others' *states* show."""
+        """Become the founder *own*, bound by the promises in the others' *states*."""
         self.node_id = own.node_id
         self.committed = attrs.evolve(self.committed, voters=tuple(founders))
         for state in states:
@@ -266,23 +269,23 @@
         log.info("founded", node_id=self.node_id)
 
     def version_of(self, change_id):
-        """The version a change id was committed as, or ``None``."""
+        """The version that *change_id* was committed as, or ``None``."""
         for seen, version in reversed(self.recent):
             if seen == change_id:
                 return version
         return None
 
     def next_ballot(self):
-        """A ballot above every one seen, this instance's alone."""
+        """A ballot above all seen ones that only this instance uses."""
         rounds = self.highest_ballot // BALLOT_STRIDE + 1
         self.highest_ballot = rounds * BALLOT_STRIDE + voters.tag(self.node_id)
         return self.highest_ballot
 
 
 def _with_voters(saved, own, first):
-    """A state file written before rounds named their voters, as one of now.
+    """Convert *saved* from the state format without voters to the current one.
 
-    Every version was one round then, and its voters were the founders.
+    In the old format each version is one round, and its voters are the founders.
     """
     voting = [v.to_saved() for v in first.voters]
 
--- a/dunlinpoint/control/agreement.py
+++ b/dunlinpoint/control/agreement.py
@@ -1,24 +1,25 @@
 """Agreement among control instances on each decision, round by round.
 
-Each round is single-value Paxos among its voters, who were named by the round
-before: a proposer asks a majority of them to promise a ballot, takes over any
-decision already accepted under a lower ballot, asks a majority to accept, then
-tells everyone the result (learn). A minority, such as a zone cut off from the
-rest, cannot decide anything; it keeps serving the last decision it learned.
+Each round is single-value Paxos among its voters, who are part of the previous
+round's decision: a proposer asks a majority of them to promise a ballot, adopts
+any decision already accepted under a lower ballot, asks a majority to accept,
+then announces the result to all instances (learn). A minority, such as a
+partitioned zone, cannot decide anything; it keeps serving the last decision it
+learned.
 
 A decision is a document or a change of the voters (:mod:`voters`). Because
-each round has exactly one set, two parts of a deployment never believe in two
-disjoint majorities: one that missed a change of voters asks the old set, of
-whom a majority took part in the change and tells it.
-
-Operators' compare-and-set: a change names the version it was written
-against; it is refused unless that is the version committed here. Two
-operators racing on one version both reach the same round; one document
-wins and the other change gets a conflict. A resent change (same change id)
-is recognised from the recent history and answered with its version
-instead of being applied twice.
-
-Documents are whole, not deltas, so a process that missed hundreds of
+each round has exactly one set of voters, two partitions of a deployment never
+use two disjoint majorities: an instance that missed a change of voters asks the
+old set, a majority of which took part in the change and returns it.
+
+Operators' changes are compare-and-set: a change names the version it is based
+on and is refused unless that is the version committed here. Two operators
+changing the same version reach the same round; one document wins and the other
+change is refused as a conflict. A retried change (same change id) is recognised
+from the recent history and answered with its version instead of being applied
+twice.
+
+Documents are complete, not deltas, so a process that missed hundreds of
 rounds catches up by learning the newest one.
 """
 
@@ -35,16 +36,21 @@
 
 log = logs.logger("control")
 
-# How often a read asks again when what it learned changed whom to ask.
+# Attempts of a read. A new attempt is needed when the answers change the voters.
 READ_ROUNDS = 5
-# How often a change is proposed again after a change of voters took its round.
+# Attempts of a proposal. A new one is needed when a change of voters takes its round.
 PROPOSE_ROUNDS = 3
 NOTHING_KNOWN = -1
 
 
 @attrs.define
 class Outcome:
-    """What became of one proposed change."""
+    """The result of one proposed change.
+
+    ``version`` is the change's version if accepted, else the version committed
+    here. ``reason`` is empty, ``"resent"``, ``"held"``, ``"version_conflict"`` or
+    ``"no_quorum"``.
+    """
 
     accepted: bool
     version: int
@@ -53,10 +59,10 @@
 
 @attrs.define
 class Peers:
-    """The voters as this control instance reaches them.
+    """Calls from this control instance to the voters and other instances.
 
-    ``link_to(host, port)`` is a link to another instance; ``everyone()`` lists
-    the addresses of all known ones, who are told of decisions.
+    ``link_to(host, port)`` returns a link to another instance; ``everyone()``
+    lists the (host, port) of all known instances, which are sent decisions.
     """
 
     local: acceptors.Acceptor
@@ -65,7 +71,7 @@
 
     @property
     def voters(self):
-        """The voters of the round to come."""
+        """The voters of the next round."""
         return self.local.committed.voters
 
     def _call(self, voter, method, *args):
@@ -74,13 +80,13 @@
         return self.link_to(*voter.address).call(method, *args)
 
     def _quorum(self, voting, method, args, good):
-        """Answers to *method* once a majority are *good*, or all have come.
+        """The answers to *method* once a majority are *good* or all have arrived.
 
-        A frozen or cut-off voter answers nothing until its timeout;
-        waiting for every answer made each round wait for it (1.6 s a
-        change with one of three frozen, against 4 ms with all up), and a
-        change could then miss the 7 s bound for being in force. A
-        majority is all agreement needs.
+        Returns a Deferred of a list. Only a majority is waited for: a call to a
+        frozen or partitioned voter lasts until its timeout, and waiting for
+        every answer delayed each round by that (1.6 s a change with one of
+        three voters frozen, against 4 ms with all up). A change could then
+        exceed the 7 s within which it must be in force.
         """
         if not voting:
             return defer.succeed([])
@@ -108,23 +114,23 @@
         return done
 
     def inspect(self, voting):
-        """States of a majority of *voting*, if they answer."""
+        """The states of a majority of *voting*, if they answer (Deferred list)."""
         known = self.local.committed.round
         return self._quorum(voting, "inspect", (known,), lambda state: state.ok)
 
     def prepare(self, voting, number, ballot):
-        """Promises of those of *voting* that answered (a Deferred of a list)."""
+        """The promises of the voters that answered (Deferred list)."""
         return self._quorum(voting, "prepare", (number, ballot), lambda p: p.ok)
 
     @defer.inlineCallbacks
     def accept(self, voting, number, ballot, decision):
-        """How many of *voting* accepted."""
+        """The number of *voting* that accepted *decision* (Deferred int)."""
         args = number, ballot, decision.to_message()
         answers = yield self._quorum(voting, "accept", args, lambda ok: ok)
         return sum(1 for ok in answers if ok)
 
     def learn(self, decision, ballot):
-        """Tell everyone that *decision* was chosen; nothing waits for it."""
+        """Notify all instances that *decision* was chosen, without waiting."""
         self.local.take(decision)
         chosen = decision.to_message(with_body=False)
         for address in self.everyone():
@@ -135,12 +141,12 @@
 
 @defer.inlineCallbacks
 def found(peers, own, founders):
-    """Settle whether an empty instance is a founder that starts anew.
+    """Determine whether an instance without state is a founder's first start.
 
-    It is one if every other founder answers and none has decided or accepted
+    It is if every other founder answers and none has decided or accepted
     anything: then nothing that it may have voted for was chosen, and their
-    promises bound what it may have promised. Otherwise it lost its disk and
-    waits to be made a voter under its new id.
+    promises bound what it may have promised. Otherwise it has lost its disk and
+    must be made a voter under its new id.
     """
     local = peers.local
     if not local.unfounded:
@@ -160,11 +166,11 @@
 
 @defer.inlineCallbacks
 def read(peers):
-    """The newest decision for certain, or ``None`` when that can't be known.
+    """The newest decision (Deferred), or ``None`` if it cannot be determined.
 
-    A majority of the voters must answer. What is accepted somewhere for the
-    next round may have been acknowledged to its operator already, so that
-    round is finished before anything older is shown.
+    A majority of the voters must answer. A decision accepted by any of them for
+    the next round may already have been acknowledged to its operator, so that
+    round is completed before an older decision is returned.
     """
     local = peers.local
     for _ in range(READ_ROUNDS):
@@ -177,8 +183,8 @@
         newest = max(sound, key=lambda state: state.committed.round)
         local.take(acceptors.Decision.from_message(newest.committed))
         if local.committed.round != number:
-            # Learned from these answers or while they were on their way. Its
-            # voters may be others, and are the ones to be asked.
+            # A newer decision was learned from the answers or meanwhile. Its
+            # voters may differ, and theirs are the answers that count.
             continue
         if not any(s.accepted and s.accepted.round > number for s in sound):
             return local.committed
@@ -188,10 +194,10 @@
 
 @defer.inlineCallbacks
 def decide(peers, number, mine):
-    """One round; the ``Decision`` it chose or ``None``.
+    """Run round *number*; a Deferred of the ``Decision`` it chose, or ``None``.
 
-    Proposes *mine* unless something was already accepted; with *mine*
-    ``None`` it only finishes a round that another proposer began.
+    Proposes *mine* unless another decision was already accepted; with *mine*
+    ``None`` it only completes a round that another proposer began.
     """
     local = peers.local
     voting = peers.voters
@@ -227,7 +233,10 @@
 
 @defer.inlineCallbacks
 def propose(peers, expected_version, change_id, text):
-    """Try to commit *text* as the version after *expected_version*."""
+    """Try to commit *text* as the version after *expected_version*.
+
+    Returns a Deferred of an ``Outcome``.
+    """
     local = peers.local
     for _ in range(PROPOSE_ROUNDS):
         known = local.version_of(change_id)
@@ -256,7 +265,7 @@
 
 @defer.inlineCallbacks
 def change_voters(peers, following):
-    """Try to make *following* the voters of the rounds to come; whether done."""
+    """Try to make *following* the next voters; a Deferred of whether it succeeded."""
     current = peers.local.committed
     mine = attrs.evolve(current, round=current.round + 1, voters=tuple(following))
     chosen = yield decide(peers, mine.round, mine)
--- a/dunlinpoint/control/discovery.py
+++ b/dunlinpoint/control/discovery.py
@@ -1,10 +1,10 @@
-"""The other control instances, as this one finds them.
+"""Discovery of the other control instances.
 
-Every instance announces itself to all it knows, twice a second: the seeds it
-was told, the voters, whoever announced itself here, and whoever another one
-shows. So one seed that answers is enough, and what was learned outlives the
-loss of every seed. An announcement also says how new the sender's decisions
-are, which tells who may become a voter.
+Every instance announces itself twice a second to all it knows: the configured
+seeds, the voters, the instances that announced themselves here, and those in
+other instances' member lists. So one seed that answers is enough, and the known
+instances remain known when all seeds are lost. An announcement also carries the
+sender's last round, which determines whether it may become a voter.
 """
 
 import zlib
@@ -16,13 +16,13 @@
 
 KIND = "control"
 ANNOUNCE_MS = 500
-# How long one that another instance showed is called before it must have
-# announced itself here.
+# How long an instance listed by another one is called without having announced
+# itself here.
 SHOWN_MS = 5000
 
 
 def checksum(addresses):
-    """What tells two lists of control instances' (host, port) apart."""
+    """A CRC-32 of control instances' (host, port) pairs, in any order."""
     names = sorted(f"{host}:{port}" for host, port in addresses)
     return zlib.crc32(",".join(names).encode())
 
@@ -38,7 +38,10 @@
 
 @attrs.define
 class Controls:
-    """Other control instances by id, and the addresses to call."""
+    """Other control instances by id, and the addresses to call.
+
+    Times (*now*, ``_ms``) are of this process's clock, in ms.
+    """
 
     own: voters.Voter
     seeds: list
@@ -47,22 +50,22 @@
     shown_ms_by_address: dict = attrs.field(factory=dict)
 
     def set_seeds(self, seeds):
-        """Take *seeds* in the place of those told before."""
+        """Replace the seeds by *seeds*, a sequence of (host, port)."""
         self.seeds = list(seeds)
 
     def hear(self, beat, now):
-        """Take in another instance's announcement."""
+        """Record another instance's announcement."""
         voter = voters.Voter(beat.endpoint_id, beat.host, beat.port, beat.zone)
         self.heard_by_id[voter.node_id] = Heard(voter, beat.round or 0, now)
 
     def show(self, members, now):
-        """Take in the instances among another one's *members*."""
+        """Record the control instances among the *members* of another one."""
         for member in members:
             if member.kind == KIND and member.endpoint_id != self.own.node_id:
                 self.shown_ms_by_address[member.host, member.port] = now
 
     def addresses(self, voting, now):
-        """Where the others are to be called."""
+        """The sorted (host, port) of the other instances, *voting* included."""
         found = set(self.seeds) | {v.address for v in voting}
         found |= {h.voter.address for h in self.heard(now)}
         for address, shown_ms in list(self.shown_ms_by_address.items()):
@@ -73,21 +76,21 @@
         return sorted(found - {self.own.address})
 
     def heard(self, now):
-        """Those who announced themselves lately; the others are dropped."""
+        """Announcements within ``voters.SHRINK_MS``; older ones are dropped."""
         for node_id, heard in list(self.heard_by_id.items()):
             if now - heard.at_ms > voters.SHRINK_MS:
                 del self.heard_by_id[node_id]
         return list(self.heard_by_id.values())
 
     def silent_ms(self, node_id, now):
-        """For how long the instance *node_id* has not announced itself."""
+        """Time since the last announcement of the instance *node_id*, in ms."""
         if node_id == self.own.node_id:
             return 0
         heard = self.heard_by_id.get(node_id)
         return now - (heard.at_ms if heard is not None else self.started_ms)
 
     def waiting(self, committed, now):
-        """Live ones that do not vote and hold the newest decisions."""
+        """Candidates: live instances that do not vote and hold recent decisions."""
         voting = {v.node_id for v in committed.voters}
         least = committed.round - voters.LAG_ROUNDS
         return [
@@ -99,7 +102,7 @@
         ]
 
     def beat(self, committed):
-        """This instance's announcement."""
+        """This instance's announcement, a ``Heartbeat`` message."""
         return ttypes.Heartbeat(
             endpoint_id=self.own.node_id,
             zone=self.own.zone,
--- a/dunlinpoint/control/followers.py
+++ b/dunlinpoint/control/followers.py
@@ -1,24 +1,24 @@
-"""The entries that follow this control instance, and each one's place.
+"""The entries that poll this control instance, and their positions.
 
-An entry's place tells it where to begin in the list of endpoints, so that
-entries which see the same do not all choose the same. All controls order the
-entries by name, so they mostly agree; where they do not, for a moment, two
-entries begin at the same endpoint, which costs nothing but evenness.
+An entry's position determines where it starts in the list of endpoints, so that
+entries with the same view do not all choose the same endpoint. All controls order
+the entries by name, so their positions mostly agree; while they do not, two
+entries may start at the same endpoint, which only makes the load less even.
 """
 
 import collections
 
 import attrs
 
-# Four long polls: an entry whose poll is answered late is still one.
+# Four long polls, so that an entry is not dropped for one delayed poll.
 ENTRY_TIMEOUT_MS = 4000
-# How often it is looked which entries have not asked for so long.
+# The interval between checks for entries that stopped polling.
 LOOK_MS = 250
 
 
 @attrs.frozen
 class Position:
-    """Which entry of its zone one is (0 up), of how many, and the same of all zones."""
+    """An entry's index (from 0) and the number of entries, in its zone and overall."""
 
     zone_index: int
     zone_entries: int
@@ -26,16 +26,16 @@
     entry_count: int
 
 
-# A follower without a name is no entry.
+# The position of followers without a name, which are not entries.
 NO_ENTRY = Position(0, 0, 0, 0)
 
 
 @attrs.define
 class Followers:
-    """When each entry last asked, by its zone and name.
+    """The time of each entry's last poll, by its zone and name.
 
-    ``position_by_entry`` is worked out when they have changed: there are some hundred
-    entries, and each asks every second.
+    ``position_by_entry`` is computed only when the entries have changed: there are
+    several hundred entries, and each polls every second.
     """
 
     asked_ms_by_entry: dict = attrs.field(factory=dict)
@@ -43,7 +43,7 @@
     looked_ms: int = 0
 
     def position_of(self, zone, name, now):
-        """The ``Position`` of entry *name* of *zone*; without a name it is no entry."""
+        """Record a poll of entry *name* of *zone* and return its ``Position``."""
         if not name:
             return NO_ENTRY
         self.asked_ms_by_entry[zone, name] = now
@@ -54,7 +54,7 @@
         return self.position_by_entry[zone, name]
 
     def _forget(self, now):
-        """Drop entries that have not asked for a while."""
+        """Drop entries that have not polled for ``ENTRY_TIMEOUT_MS``."""
         self.looked_ms = now
         silent = [
             e for e, at in self.asked_ms_by_entry.items() if now - at > ENTRY_TIMEOUT_MS
@@ -65,7 +65,7 @@
             self.position_by_entry = {}
 
     def _arrange(self):
-        """Number the entries, of each zone and of all."""
+        """Compute the positions of all entries, per zone and overall."""
         entries = sorted(self.asked_ms_by_entry)
         sizes = collections.Counter(zone for zone, _ in entries)
         seen = collections.Counter()
--- a/dunlinpoint/control/membership.py
+++ b/dunlinpoint/control/membership.py
@@ -1,14 +1,14 @@
-"""Endpoints by id, each under a lease that heartbeats renew.
+"""Endpoints by id, each with a lease that its heartbeats renew.
 
-Endpoints announce themselves: the first heartbeat of an id makes it a
-member. A member whose lease runs out is dropped. ``revision`` grows with
-every change that routing must hear of at once (joined, moved, draining,
-left, lease ran out), so a follower that holds a revision need not be sent
-the list again; a renewal or a new load figure does not change it.
+Endpoints register themselves: the first heartbeat of an id makes it a member.
+A member whose lease expires is dropped. ``revision`` grows with every change
+that routing must receive at once (joined, moved, draining, left, lease
+expired), so a follower that holds a revision need not be sent the list again; a
+renewal or a new load figure does not change it.
 
-An endpoint may start again under the id that it had. Its *incarnation* (Unix ms
-of its start, 0 where it tells none) says which start something is about; what
-an earlier start said late is older than anything of a later one (:func:`age`).
+An endpoint may restart under the same id. Its *incarnation* (Unix ms of its
+start, 0 if it sends none) tells the starts apart: a delayed message of an
+earlier incarnation is older than any message of a later one (:func:`age`).
 """
 
 import copy
@@ -19,42 +19,43 @@
 from dunlinpoint.wire.gen.dunlin import ttypes
 
 LEASE_MS = 2000
-# How long an endpoint that left is remembered. A heartbeat held up by a cut
-# can arrive after its sender has left; without the record it would bring the
-# endpoint back, and requests would go to an address that may be another's.
+# How long the record of an endpoint that left is kept. A heartbeat delayed by a
+# network partition can arrive after its sender has left; without the record it would
+# register the endpoint again, and requests would go to an address that may belong to
+# another endpoint.
 LEFT_MEMORY_MS = 120_000
 REVISION_BITS = 40
-# How many ids that were dropped are told of; a follower that has missed more of them
-# is sent the whole list.
+# Dropped ids kept for incremental updates; a follower that has missed more of them is
+# sent the complete list.
 DROPPED_KEPT = 1000
 
 
 @attrs.define
 class Lease:
-    """One member and when its lease ends (control's clock, ms)."""
+    """A member's last heartbeat and the end of its lease (control's clock, ms)."""
 
     beat: ttypes.Heartbeat
     expires_ms: int
 
 
 def first_revision():
-    """A start for ``revision`` that no earlier life of the process used."""
+    """A random first ``revision``, unlike those of earlier starts of the process."""
     return random.SystemRandom().getrandbits(REVISION_BITS) << 20
 
 
 def routed(beat):
-    """What of a heartbeat routing depends on."""
+    """The fields of a heartbeat that routing depends on, as a tuple."""
     place = beat.host, beat.port, beat.slots, beat.service_name
     standing = beat.draining, beat.gone, beat.epoch, beat.broken
     return *place, *standing, beat.incarnation or 0
 
 
 def is_foreign(beat, known):
-    """Whether *beat* cannot be of the endpoint that sent *known*.
+    """Whether *beat* cannot come from the endpoint that sent *known*.
 
-    One start of an endpoint of a service keeps its service and its address. A
-    heartbeat with the id of a live endpoint and another body would send that one's
-    requests elsewhere.
+    An incarnation of a service's endpoint keeps its service and address. A
+    heartbeat with the id of a live endpoint but another address or service would
+    redirect that endpoint's requests.
     """
     if known.gone or not known.service_name or beat.incarnation != known.incarnation:
         return False
@@ -62,22 +63,22 @@
 
 
 def place(beat):
-    """Where an endpoint is, and what it serves."""
+    """The kind, service, zone and address of an endpoint, as a tuple."""
     return beat.kind, beat.service_name, beat.zone, beat.host, beat.port
 
 
 def age(said):
-    """What orders all that is said of one endpoint, in a heartbeat or a member list.
+    """A sort key for the heartbeats and member records of one endpoint.
 
-    A later start comes first, whatever its counts are; of one start, that it left
-    is the newest there is.
+    A later incarnation is newer whatever its sequence numbers are; within one
+    incarnation, the record that it left is the newest.
     """
     return said.incarnation or 0, bool(said.gone), said.sequence or 0
 
 
 @attrs.frozen
 class Changes:
-    """What of a list changed: members that are new or other, ids that are gone."""
+    """Changes of a member list: new or changed members, and dropped ids."""
 
     members: list
     dropped: list
@@ -87,8 +88,8 @@
 class Membership:
     """Leases by endpoint id.
 
-    ``changed_by_id`` and ``dropped_by_id`` hold the revision with which a member, or
-    that it is none any more, is news; they are whole from ``whole_from`` on.
+    ``changed_by_id`` and ``dropped_by_id`` hold the revision at which a member last
+    changed or was dropped; they are complete from revision ``whole_from`` on.
     """
 
     lease_ms: int = LEASE_MS
@@ -101,10 +102,10 @@
     dropped_by_id: dict = attrs.field(factory=dict)
 
     def renew(self, beat, now):
-        """Take in one heartbeat; ``True`` when routing must hear of it.
+        """Process one heartbeat; ``True`` if it changes what routing depends on.
 
-        A heartbeat older than the one known, by incarnation and sequence,
-        is ignored: late by seconds, it would undo ``draining`` or move a
+        A heartbeat older than the last one, by incarnation and sequence, is
+        ignored: delayed by seconds, it would undo ``draining`` or move a
         restarted endpoint back to its old address.
         """
         lease = self.by_id.get(beat.endpoint_id)
@@ -117,7 +118,7 @@
         if changed:
             self._changed(beat.endpoint_id)
         elif lease.beat.load != beat.load:
-            # No news by itself, it goes with the next that is.
+            # A load figure is sent with the next change that routing depends on.
             self.changed_by_id[beat.endpoint_id] = self.revision + 1
         return changed
 
@@ -127,11 +128,11 @@
         self.dropped_by_id.pop(endpoint_id, None)
 
     def leave(self, endpoint_id, now, incarnation=None, wall_ms=0):
-        """The endpoint says it has left; ``True`` when that is news.
+        """Record that an endpoint has left; ``True`` if it was not known to have left.
 
-        Without the *incarnation* that leaves, it is the one that is known here. A
-        control that knows none takes every start up to *wall_ms* (Unix ms): the
-        other controls may know one, and must not be the newer for it.
+        Without an *incarnation*, the one known here has left. If none is known, all
+        incarnations up to *wall_ms* (Unix ms) are recorded as left: other controls
+        may know one of them, and their record must not count as newer.
         """
         lease = self.by_id.get(endpoint_id)
         if lease is not None:
@@ -152,7 +153,7 @@
         return True
 
     def expire(self, now):
-        """Drop members whose lease ran out; their ids."""
+        """Drop members whose lease expired; returns their ids."""
         gone = [i for i, lease in self.by_id.items() if lease.expires_ms <= now]
         if not gone:
             return gone
@@ -167,7 +168,7 @@
         return gone
 
     def changes_since(self, revision, now):
-        """The ``Changes`` after *revision*, or ``None`` where these are not known."""
+        """The ``Changes`` after *revision*, or ``None`` if they are not known."""
         if not self.whole_from <= revision <= self.revision:
             return None
         changed = [i for i, at in self.changed_by_id.items() if at > revision]
@@ -175,7 +176,7 @@
         return Changes(self.members(now, changed), dropped)
 
     def members(self, now, ids=None):
-        """Live members and those that left, as ``Member`` messages; all or of *ids*."""
+        """``Member`` messages of live and departed members, optionally only *ids*."""
         leases = self.by_id.values()
         if ids is not None:
             leases = [self.by_id[endpoint_id] for endpoint_id in ids]
--- a/dunlinpoint/control/operators.py
+++ b/dunlinpoint/control/operators.py
@@ -1,13 +1,13 @@
-"""Operators' changes that carry the console's own number: the highest wins.
+"""Operators' documents numbered by the console: the highest number wins.
 
-A console that numbers its documents does not write against a version of
-ours; it sends whole documents, again after a lost answer, to any control
-instance, while another operator may do the same. Rules kept here:
+A console that numbers its documents does not base a change on one of control's
+versions; it sends complete documents to any control instance and retries after a
+lost answer, while another operator may do the same. The rules:
 
-- A document with a higher number than the one in force takes its place.
-- One whose number is not higher is acknowledged and changes nothing: it was
-  sent again, or overtaken. Of two with equal numbers the first one decided
-  stays, whatever the other holds.
+- A document with a higher number than the one in force replaces it.
+- A document whose number is not higher is acknowledged without a change: it is a
+  retry or was superseded. Of two with equal numbers, the first one decided stays,
+  whatever the content of the other.
 - A change is acknowledged only once a majority of acceptors hold it.
 """
 
@@ -29,7 +29,7 @@
 
 @attrs.define
 class NumberCache:
-    """The console's number of the document in force, read once a version."""
+    """The console's number of the document in force, parsed once per version."""
 
     version: int = 0
     number: int = 0
@@ -44,10 +44,11 @@
 
 @defer.inlineCallbacks
 def replace(reactor, peers, numbers, doc):
-    """Put *doc* in force unless one with as high a number is: an ``Outcome``.
+    """Put *doc* in force unless the current number is as high.
 
-    Two proposers at once can take each other's ballots; each waits a random
-    while before it tries again, so that one of them gets through.
+    Returns a Deferred of an ``Outcome``. Concurrent proposers can invalidate each
+    other's ballots; each waits a random time before the next attempt, so that one
+    of them succeeds.
     """
     text = config.dump(doc)
     change_id = hashlib.sha256(text.encode()).hexdigest()[:24]
--- a/dunlinpoint/control/server.py
+++ b/dunlinpoint/control/server.py
@@ -1,16 +1,15 @@
 """The thrift handler of the ``Control`` service, and its background loops.
 
-- ``heartbeat`` renews an endpoint's lease and answers with the document in
-  force here when the endpoint's version is older.
-- ``view`` lists this instance's live members and its document.
+- ``heartbeat`` renews an endpoint's lease and returns the document in force
+  here if the endpoint's version is older.
+- ``view`` returns this instance's live members and its document.
 - ``apply`` validates an operator's document and runs one agreement round.
 - ``prepare``, ``accept``, ``learn`` are the acceptor's side of agreement.
 
 Every ``discovery.ANNOUNCE_MS`` the instance announces itself to the others,
-asks them for their view and learns any newer document: a control that was cut
-off, or restarted after many changes passed it by, catches up without waiting
-for the next change. One of the voters then sees whether the set of voters
-should change.
+requests their view and learns any newer document: a control that was partitioned,
+or restarted after missing many changes, catches up without waiting for the next
+change. One of the voters then checks whether the set of voters should change.
 """
 
 from __future__ import annotations
@@ -37,9 +36,11 @@
 
 @attrs.define
 class Settings:
-    """One control instance's settings.
+    """Settings of a control instance.
 
-    *seeds* are the addresses of the instances that found the deployment.
+    *seeds* are the (host, port) of the instances that found the deployment, *data*
+    the folder of the durable state (``None``: memory only). With *bootstrap*, an
+    empty folder means a first start.
     """
 
     control_id: str
@@ -58,7 +59,7 @@
 
     @property
     def own_founder(self):
-        """The founder that this instance would be, or ``None``."""
+        """The founder with this instance's address, or ``None``."""
         if (self.host, self.port) not in self.seeds:
             return None
         return voters.founder(self.host, self.port)
@@ -66,7 +67,10 @@
 
 @attrs.define
 class State:
-    """A control instance: its acceptor, peers, members and counters."""
+    """A control instance: its acceptor, peers, members and counters.
+
+    ``waiting`` holds a Deferred for each long poll that waits for a change.
+    """
 
     settings: Settings
     clock: clock.Clock
@@ -110,14 +114,14 @@
         return state
 
     def changed(self):
-        """Answer every follower that waits for a change."""
+        """Answer all long polls that wait for a change."""
         waiting, self.waiting = self.waiting, []
         for waiter in waiting:
             if not waiter.called:
                 waiter.callback(None)
 
     def renew(self, beat):
-        """Take in one heartbeat from an endpoint or another control."""
+        """Process one heartbeat of an endpoint or another control."""
         self.counters.incr("heartbeats")
         now = self.clock.now()
         if beat.kind == discovery.KIND:
@@ -135,14 +139,14 @@
             self.changed()
 
     def leave(self, endpoint_id, incarnation=None):
-        """An endpoint says that it, or the start *incarnation* of it, has left."""
+        """Record that an endpoint, or its *incarnation* if given, has left."""
         now, wall_ms = self.clock.now(), clock.unix_ms()
         if self.membership.leave(endpoint_id, now, incarnation, wall_ms):
             log.info("left", endpoint_id=endpoint_id, incarnation=incarnation)
             self.changed()
 
     def wake(self, waiter):
-        """Answer one follower whose wait ran out."""
+        """Answer a long poll whose ``wait_ms`` has passed."""
         if waiter in self.waiting:
             self.waiting.remove(waiter)
             waiter.callback(None)
@@ -159,8 +163,9 @@
     ):
         """This instance's ``View`` for a follower at *revision* and round *number*.
 
-        It bears the reports after *reports_known* where the follower names one, and
-        with *changes_only* no more of the members than has changed since *revision*.
+        It contains the crash reports after *reports_known* unless that is ``None``,
+        and with *changes_only* only the members that changed since *revision*. A
+        newer document has its text only with *bodies*.
         """
         now = self.clock.now()
         position = self.followers.position_of(zone, follower, now)
@@ -216,9 +221,9 @@
     def heartbeat(self, beat):
         state = self.state
         state.renew(beat)
-        # The whole document rides along only when the endpoint's version is
-        # older: sending it on every heartbeat cost 852 reply bytes instead of
-        # 12 with the default document, and grows with every workspace.
+        # The document is included only if the endpoint's version is older: in
+        # every reply it took 852 bytes instead of 12 with the default document,
+        # and it grows with every workspace.
         committed = state.peers.local.committed
         if beat.kind == discovery.KIND:
             return ttypes.HeartbeatReply(state.membership.lease_ms)
@@ -310,13 +315,13 @@
 
 @defer.inlineCallbacks
 def catch_up(state):
-    """Learn any newer decision that another control has."""
+    """Learn any newer decision of other controls."""
     local = state.peers.local
     settings = state.settings
     yield agreement.found(state.peers, settings.own_founder, settings.founders)
     if local.accepted is not None:
-        # Its proposer may have died between accept and learn; followers get
-        # no assurance from this instance until the round is finished.
+        # Its proposer may have failed between accept and learn; this instance
+        # cannot vouch for its document until the round is completed.
         yield agreement.read(state.peers)
     revisions = state.peer_revision_by_address
     addresses = state.peers.everyone()
@@ -343,7 +348,7 @@
 
 
 def take_view(state, address, shown):
-    """Take in what the control at *address* showed."""
+    """Process *shown*, the ``View`` of the control at *address*."""
     state.peer_revision_by_address[address] = shown.revision
     state.controls.show(shown.members, state.clock.now())
     if shown.document is None:
@@ -354,12 +359,13 @@
 
 @defer.inlineCallbacks
 def announce(state):
-    """Tell every known control that this one is there, and itself as a member."""
+    """Send a heartbeat to every known control and register itself as a member."""
     own = state.controls
     if state.peers.local.unfounded:
-        # It may be about to become the founder at this address. The others
-        # took it for that founder's successor and made it a voter under an
-        # id that was gone a moment later: one loss more stopped all changes.
+        # This instance may be about to become the founder at this address.
+        # Announced before that, it was taken for that founder's replacement and
+        # made a voter under an id that it gave up a moment later; then one more
+        # failure stopped all changes.
         return
     own.own = attrs.evolve(own.own, node_id=state.peers.local.node_id)
     beat = own.beat(state.peers.local.committed)
@@ -376,7 +382,7 @@
 
 @defer.inlineCallbacks
 def mend_voters(state):
-    """Propose another set of voters where the present one should change."""
+    """Propose another set of voters if the current one should change."""
     local = state.peers.local
     now = state.clock.now()
 
@@ -404,7 +410,7 @@
 
 
 def expire(state):
-    """Drop members whose lease ran out."""
+    """Drop members whose lease expired."""
     expired = state.membership.expire(state.clock.now())
     for endpoint_id in expired:
         log.info("lease_ended", endpoint_id=endpoint_id)
@@ -415,8 +421,9 @@
 def every(reactor, interval_ms, func, *args):
     """Run *func* every *interval_ms* until the reactor stops.
 
-    A loop of the library's ends for good with the first failure: one full
-    disk, and the instance would never catch up again.
+    Failures are logged and do not end the loop. A plain ``LoopingCall`` stops at the
+    first failure: after one write to a full disk the instance would never catch up
+    again.
     """
 
     def failed(failure):
@@ -432,7 +439,7 @@
 
 
 def run(reactor, settings, counters):
-    """Start a control instance; returns its state."""
+    """Start a control instance; returns its ``State``."""
     state = State.from_config(settings, reactor, counters)
     rpc.serve(reactor, Control.Processor(Handler(state)), settings.port, settings.host)
     every(reactor, discovery.ANNOUNCE_MS, announce, state)
--- a/dunlinpoint/control/store.py
+++ b/dunlinpoint/control/store.py
@@ -1,12 +1,12 @@
 """The acceptor's durable state: one JSON file under the data folder.
 
-A promise or acceptance counts only once it is on disk: the file is written
-to a temporary name, flushed and synced, renamed over the old one, and the
-folder is synced, before the answer leaves. A crash at any point leaves
-either the old file or the new one, never half of one.
+A promise or acceptance is valid only once it is on disk: before the answer is
+sent, the file is written under a temporary name, flushed and synced, renamed over
+the old one, and the folder is synced. A crash at any point leaves either the old
+file or the new one, never a partial one.
 
-Without a data folder the state lives in memory; such a control instance
-must not be an acceptor, since its promises die with it.
+Without a data folder the state is in memory only; such a control instance must
+not be an acceptor, since its promises are lost when it stops.
 """
 
 import json
@@ -23,7 +23,7 @@
 
 @attrs.define
 class Store:
-    """Where the state lives (``None`` for memory only)."""
+    """The state file in *folder* (``None``: nothing is stored)."""
 
     folder: str | None
 
@@ -32,7 +32,7 @@
         return os.path.join(self.folder, FILE_NAME) if self.folder else None
 
     def load(self):
-        """The saved state as a dict, or ``None`` when nothing was saved."""
+        """The saved state as a dict, or ``None``; raises ``StoreError``."""
         if not self.folder or not os.path.exists(self.path):
             return None
         try:
@@ -42,7 +42,7 @@
             raise StoreError(f"cannot read {self.path}: {exc}") from exc
 
     def save(self, state):
-        """Write *state* (a JSON-able dict) durably."""
+        """Write *state*, a JSON-serialisable dict, durably; raises ``StoreError``."""
         if not self.folder:
             return
         temporary = self.path + ".new"
--- a/dunlinpoint/control/tests/cluster.py
+++ b/dunlinpoint/control/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Control instances in one process, for tests of what they agree on."""
+"""Control instances in one process, for tests of agreement."""
 
 import attrs
 from twisted.internet import defer
@@ -10,7 +10,7 @@
 
 
 def result(d):
-    """What a Deferred that has fired holds."""
+    """The result of a Deferred that has fired."""
     out = []
     d.addBoth(out.append)
     return out[0]
@@ -18,7 +18,7 @@
 
 @attrs.define(eq=False)
 class Link:
-    """A call from one node to another, unless a link between them is cut."""
+    """Calls from one node to another, which fail if their link is cut."""
 
     net: object
     caller: str
@@ -33,7 +33,7 @@
 
 @attrs.define(eq=False)
 class Net:
-    """Acceptors by host name, and the pairs of hosts that are cut apart."""
+    """Acceptors by host name, and the cut hosts and pairs of hosts."""
 
     folder: object
     founders: list
@@ -48,7 +48,7 @@
         self.cuts.add(one if other is None else frozenset((one, other)))
 
     def start(self, host, bootstrap=False, disk=None):
-        """Start (again) the instance at *host* with its disk, or a new *disk*."""
+        """Start or restart the instance at *host*, on its disk or a new *disk*."""
         own = [v for v in self.founders if v.host == host]
         self.by_host[host] = acceptor.Acceptor.from_config(
             str(self.folder / (disk or host)),
@@ -59,7 +59,7 @@
         return self.by_host[host]
 
     def peers(self, host):
-        """The voters as *host* reaches them."""
+        """The ``Peers`` of the instance at *host*."""
 
         def everyone():
             return [(other, PORT) for other in self.by_host if other != host]
@@ -77,12 +77,12 @@
         return voters.Voter(self.by_host[host].node_id, host, PORT)
 
     def change_voters(self, at, hosts):
-        """Propose at *at* that the instances at *hosts* vote; whether done."""
+        """Propose at *at* that the instances at *hosts* vote; whether it succeeded."""
         following = [self.voter(host) for host in hosts]
         return result(agreement.change_voters(self.peers(at), following))
 
     def catch_up(self, host):
-        """Learn at *host* the newest decision of those it reaches."""
+        """Learn at *host* the newest decision of the instances it can reach."""
         found = result(
             agreement.found(
                 self.peers(host),
--- a/dunlinpoint/control/tests/test_agreement.py
+++ b/dunlinpoint/control/tests/test_agreement.py
@@ -1,4 +1,4 @@
-"""Agreement on document versions among acceptors, with links we can cut."""
+"""Agreement on document versions among acceptors, with cut links."""
 
 from dunlinpoint.config import packed
 from dunlinpoint.control import acceptor
@@ -18,9 +18,9 @@
 
 
 def test_racing_operators_on_one_version_get_one_winner(tmp_path):
-    # Symptom: two operators both see version 1 accepted for different
-    # documents. Sequence: both write against version 0 at different control
-    # instances. Cause would be a compare-and-set checked only locally.
+    # Failure: two operators, both changing version 0 at different control
+    # instances, have different documents accepted as version 1, because the
+    # compare-and-set is checked only locally.
     net = cluster.make(tmp_path)
     first = net.propose("c0", 0, "alice", '{"a": 1}')
     second = net.propose("c1", 0, "bob", '{"b": 1}')
@@ -30,11 +30,10 @@
 
 
 def test_interleaved_proposers_keep_the_accepted_document(tmp_path):
-    # Symptom: a version is committed with two different documents.
-    # Sequence: proposer A gets promises and its document accepted by one
-    # acceptor only; proposer B then runs a full round for the same version.
-    # Cause would be B proposing its own document instead of the one
-    # already accepted under a lower ballot.
+    # Failure: a version is committed with two different documents. Proposer A
+    # gets promises and its document accepted by one acceptor only; proposer B
+    # then runs a full round for the same version and proposes its own document
+    # instead of the one already accepted under a lower ballot.
     net = cluster.make(tmp_path)
     first = net.by_host["c0"]
     ballot = first.next_ballot()
@@ -59,8 +58,8 @@
 
 
 def test_minority_cannot_commit(tmp_path):
-    # Symptom: a control cut off with no peer accepts a new document, which
-    # the majority later contradicts. Cause would be acting without quorum.
+    # Failure: an isolated control accepts a new document without a quorum, and
+    # the majority later commits another one.
     net = cluster.make(tmp_path)
     net.cut("c0")
     outcome = net.propose("c0", 0, "lonely", "{}")
@@ -87,9 +86,9 @@
 
 
 def test_a_state_file_of_before_rounds_is_read(tmp_path):
-    # Symptom: after an upgrade a control forgets its document, or votes
-    # under another name. Sequence: a state file that knows versions only
-    # is read. Cause guarded against: a new field without a value for it.
+    # Failure: after an upgrade a control loses its document or votes under
+    # another id, because its state file has versions but no rounds and a newer
+    # field gets no value.
     net = cluster.make(tmp_path)
     own = net.founders[0]
     old = {
--- a/dunlinpoint/control/tests/test_agreement_model.py
+++ b/dunlinpoint/control/tests/test_agreement_model.py
@@ -1,13 +1,12 @@
 """Agreement under any interleaving of proposals, cuts, restarts and disk loss.
 
-Symptom looked for: two acceptors committed different decisions for one
-round, or an acceptor's committed round went down. Sequence: any mix of
-operators proposing on the version they last saw (also stale ones and
-resends), links cut and healed, acceptors restarted from disk, disks lost,
-and the voters changed to any set of the instances there are. Cause this
-would reveal: a proposer that does not adopt an accepted value, state that
-counts before it is saved, an empty disk that votes as the voter it was, or
-two sets of voters for one round.
+Failure: two acceptors commit different decisions for one round, or an
+acceptor's committed round decreases. The model mixes operators' changes to the
+version they last saw (also stale ones and retries), links cut and healed,
+acceptors restarted from disk, lost disks, and changes of the voters to any set of
+instances. Possible causes are a proposer that does not adopt an accepted value,
+an answer sent before its state is saved, an instance with an empty disk that
+votes as its former voter, or two sets of voters for one round.
 """
 
 import pathlib
--- a/dunlinpoint/control/tests/test_changes.py
+++ b/dunlinpoint/control/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""What a control tells its followers of its members: what has changed, and no more."""
+"""Incremental updates of the member list from a control to its followers."""
 
 import random
 
@@ -18,7 +18,7 @@
 
 
 class Control:
-    """A control without a disk, and followers of it on one clock."""
+    """A control without a disk, and its followers, on one clock."""
 
     def __init__(self):
         self.reactor = task.Clock()
@@ -37,7 +37,7 @@
         return found, follow
 
     def poll(self, follower, changes_only=True):
-        """One poll of *follower*; what it was shown."""
+        """Poll once for *follower*; returns the ``View`` it received."""
         found, follow = follower
         asked = follow.revision, DOCUMENT_KNOWN, False
         shown = self.state.show(*asked, changes_only=changes_only)
@@ -54,7 +54,7 @@
 
 
 def believed(follower):
-    """What *follower* knows of each live member."""
+    """Each live member's fields in the view of *follower*."""
     found, _ = follower
     return {
         m.endpoint_id: (m.epoch, m.broken, m.load, m.draining)
@@ -63,7 +63,7 @@
 
 
 def step(control, rng, sequence):
-    """One thing that happens to the members of *control*."""
+    """Apply one random event to the members of *control*."""
     endpoint_id = rng.choice(IDS)
     kind = rng.choice(["beat", "beat", "beat", "leave", "time"])
     if kind == "beat":
@@ -78,7 +78,7 @@
 
 
 def true(control):
-    """What *control* itself knows of each live member."""
+    """Each live member's fields at *control* itself."""
     return {
         m.endpoint_id: (m.epoch, m.broken, m.load, m.draining)
         for m in control.state.membership.members(control.now)
@@ -88,7 +88,8 @@
 
 @pytest.mark.parametrize("seed", range(1, 31))
 def test_who_is_told_changes_believes_what_the_control_knows(seed):
-    # Guards against members that only whole lists bring, change or take away.
+    # Guards against additions, changes and removals of members that reach a follower
+    # only with a complete list.
     rng = random.Random(seed)
     control = Control()
     follower = control.follower()
@@ -96,7 +97,7 @@
         step(control, rng, sequence)
         if rng.random() < 0.4:
             control.poll(follower)
-            # What ran out here while nobody asked is listed again with the next poll.
+            # A lease that expired at the follower between polls is renewed by the next.
             control.poll(follower)
             control.state.membership.revision += 1
             control.poll(follower)
@@ -104,7 +105,7 @@
 
 
 def test_a_follower_that_knows_another_life_of_the_control_is_told_all():
-    # Guards against changes told on top of a list that another process had.
+    # Guards against changes sent relative to the list of an earlier process.
     control = Control()
     follower = control.follower()
     control.state.renew(beat("i-1"))
@@ -114,7 +115,7 @@
 
 
 def test_a_follower_that_missed_too_much_is_told_all(monkeypatch):
-    # Guards against ids of dropped members kept for ever.
+    # Guards against ids of dropped members that are kept without limit.
     monkeypatch.setattr(membership, "DROPPED_KEPT", 3)
     control = Control()
     follower = control.follower()
@@ -137,7 +138,7 @@
 
 
 def test_a_group_that_breaks_is_told_in_a_tenth_of_the_bytes():
-    # Pattern: a group of 63 ranks breaks, and each rank's next heartbeat says so.
+    # When a group of 63 ranks breaks, each rank's next heartbeat reports it.
     told = {}
     for changes_only in (False, True):
         control = Control()
--- a/dunlinpoint/control/tests/test_membership.py
+++ b/dunlinpoint/control/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Members under leases: what late and repeated heartbeats may not do."""
+"""Member leases: delayed and repeated heartbeats, departures and restarts."""
 
 from dunlinpoint.control import membership
 from dunlinpoint.wire.gen.dunlin import ttypes
@@ -23,7 +23,7 @@
 
 
 def test_late_heartbeat_does_not_undo_draining():
-    # Guards against heartbeats taken in the order of arrival.
+    # Guards against heartbeats applied in the order of arrival.
     members = membership.Membership()
     members.renew(beat(5, draining=True), 0)
     assert not members.renew(beat(4, draining=False), 10)
@@ -31,7 +31,7 @@
 
 
 def test_late_heartbeat_does_not_bring_back_what_left():
-    # Guards against requests to an address that is another's now.
+    # Guards against requests to an address that now belongs to another endpoint.
     members = membership.Membership()
     members.renew(beat(4), 0)
     members.leave("e1", 10)
@@ -40,7 +40,7 @@
 
 
 def test_leave_of_an_unknown_endpoint_is_remembered():
-    # As above, at a control that never saw it alive.
+    # As above, at a control that never received a heartbeat of the endpoint.
     members = membership.Membership()
     assert members.leave("e1", 0)
     assert not members.renew(beat(6), 20)
@@ -58,7 +58,7 @@
 
 
 def test_an_endpoint_that_starts_again_is_a_member_at_once():
-    # Guards against ordering heartbeats by counts alone, which start anew.
+    # Guards against ordering heartbeats by sequence alone, which restarts.
     members = membership.Membership()
     members.renew(beat(40, incarnation=1000), 0)
     assert members.renew(beat(1, incarnation=2000, port=2), 10)
@@ -66,7 +66,7 @@
 
 
 def test_an_endpoint_that_left_and_starts_again_is_a_member():
-    # Guards against taking a new start under an id for a late heartbeat.
+    # Guards against a new incarnation taken for a delayed heartbeat.
     members = membership.Membership()
     members.renew(beat(40, incarnation=1000), 0)
     members.leave("e1", 10, 1000)
@@ -75,7 +75,8 @@
 
 
 def test_what_an_earlier_life_said_late_does_not_touch_the_new_one():
-    # Guards against a sound endpoint drained, moved or gone for what it was.
+    # Guards against a running endpoint drained, moved or removed by delayed messages
+    # of its earlier incarnation.
     members = membership.Membership()
     members.renew(beat(1, incarnation=2000), 0)
     assert not members.renew(beat(41, incarnation=1000, port=9), 10)
@@ -86,7 +87,8 @@
 
 
 def test_a_leave_that_names_no_life_ends_those_there_were():
-    # Guards against a leave recorded for no start, which every start is newer than.
+    # Guards against a departure recorded without an incarnation, which would count as
+    # older than every incarnation.
     members = membership.Membership()
     assert members.leave("e1", 0, wall_ms=1500)
     assert not members.renew(beat(6, incarnation=1000), 20)
--- a/dunlinpoint/control/tests/test_recovery.py
+++ b/dunlinpoint/control/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Lost disks and replaced instances, sure reads, numbered documents."""
+"""Lost disks and replaced instances, quorum reads, numbered documents."""
 
 import json
 
@@ -12,10 +12,10 @@
 
 
 def test_a_lost_disk_does_not_vote_until_the_others_made_it_a_voter(tmp_path):
-    # Symptom: an acknowledged document is replaced by another under the
-    # same version. Sequence: "first" is accepted by c0 and c1 alone (c2 is
-    # cut off); c0 loses its disk; c1 fails; c2 proposes "second" to c0.
-    # Cause: c0 voted again although its promises and acceptances were lost.
+    # Failure: an acknowledged document is replaced by another with the same
+    # version. "first" is accepted by c0 and c1 alone (c2 is cut off); c0 loses
+    # its disk; c1 fails; c2 proposes "second" to c0, which votes again although
+    # its promises and acceptances are lost.
     net = cluster.make(tmp_path)
     net.cut("c2")
     assert net.propose("c0", 0, "first").accepted
@@ -27,10 +27,10 @@
 
 
 def test_a_lost_disk_votes_again_and_the_next_loss_is_borne(tmp_path):
-    # Symptom: after a repair, the failure of a second instance stops all
-    # changes. Sequence: c0 loses its disk, is made a voter again under its
-    # new id, then c1 fails. Cause guarded against: counting the empty
-    # instance as the voter it was, or never again.
+    # Failure: after a repair, the failure of a second instance stops all
+    # changes. c0 loses its disk and is made a voter again under its new id,
+    # then c1 fails. The instance with the empty disk must not count as its
+    # former voter, but must become a voter again.
     net = cluster.make(tmp_path)
     assert net.propose("c0", 0, "first").accepted
     net.start("c0", disk="new")
@@ -46,10 +46,10 @@
 
 
 def test_a_replaced_instance_leaves_no_second_majority(tmp_path):
-    # Symptom: two parts of a deployment accept different documents.
-    # Sequence: c0 is cut off, c3 takes its place; then c0 and c1 are cut off
-    # together from c2 and c3. Cause: c0 still counts the first three as the
-    # voters, and c0 with c1 is a majority of those.
+    # Failure: two partitions of a deployment accept different documents. c0 is
+    # cut off and replaced by c3; then c0 and c1 are cut off together from c2 and
+    # c3. c0 still takes the first three for the voters, and c0 with c1 is a
+    # majority of those.
     net = cluster.make(tmp_path)
     net.propose("c0", 0, "first")
     net.cut("c0")
@@ -71,9 +71,9 @@
 
 
 def test_a_lone_first_start_founds_nothing(tmp_path):
-    # Symptom: two deployments where one was meant. Sequence: an instance
-    # starts first, alone, and accepts a document; the others start and
-    # accept another. Cause: founding with those that happen to answer.
+    # Failure: two deployments are founded instead of one. An instance that starts
+    # alone accepts a document; the others start later and accept another. The
+    # cause is founding with only the instances that happen to answer.
     net = cluster.make(tmp_path, bootstrap=False)
     net.cut("c0")
     net.catch_up("c0")
@@ -86,9 +86,9 @@
 
 
 def test_a_founder_that_lost_its_disk_does_not_found_again(tmp_path):
-    # Symptom: a document that was acknowledged is gone. Sequence: c0 and c1
-    # accept "first", c2 has heard of nothing; c0 loses its disk and asks
-    # both. Cause: taking one empty answer for a first start.
+    # Failure: an acknowledged document is lost. c0 and c1 accept "first", which c2
+    # has not learned; c0 loses its disk and calls both. The cause is taking one
+    # empty answer as proof of a first start.
     net = cluster.make(tmp_path, bootstrap=False)
     for host in ("c0", "c1", "c2"):
         net.catch_up(host)
@@ -104,10 +104,10 @@
 
 
 def test_two_disks_of_five_are_lost_while_the_others_lose_power(tmp_path):
-    # Symptom: a document is gone after its acknowledgement. Sequence: five
-    # vote; a change is accepted by three; two of these lose their disks and
-    # the others restart from theirs. The one that is left holds the change as
-    # accepted, and a read finishes its round.
+    # Failure: a document is lost after its acknowledgement. Of five voters, three
+    # accept a change; two of these lose their disks and the others restart from
+    # theirs. The remaining one still holds the change as accepted, and a read must
+    # complete its round.
     net = cluster.make(tmp_path, size=5)
     for host in ("c3", "c4"):
         net.cut(host)
@@ -122,10 +122,10 @@
 
 
 def test_a_read_finishes_a_round_whose_proposer_died(tmp_path):
-    # Symptom: a document read back is older than one acknowledged.
-    # Sequence: a document is accepted by two acceptors, its proposer
-    # acknowledges it and dies before telling them it was chosen. Cause:
-    # a read that shows what is committed and passes over what is accepted.
+    # Failure: a read returns an older document than one acknowledged. A document
+    # is accepted by two acceptors; its proposer acknowledges it and fails before
+    # it announces the result. The cause is a read that returns the committed
+    # document and ignores an accepted one.
     net = cluster.make(tmp_path)
     assert net.propose("c0", 0, "first").accepted
     first = net.by_host["c0"]
@@ -160,9 +160,9 @@
 
 
 def test_the_highest_number_wins_and_older_ones_change_nothing(tmp_path):
-    # Symptom: a configuration that was replaced comes back. Sequence:
-    # number 7 is accepted; 5, held up on its way, arrives at another
-    # control. Cause: documents applied in the order they arrive.
+    # Failure: a replaced configuration returns. Number 7 is accepted, then a
+    # delayed number 5 arrives at another control, and documents are applied in
+    # the order of arrival.
     net = cluster.make(tmp_path)
     assert put(net, "c0", numbered(7)).accepted
     late = put(net, "c1", numbered(5, "late"))
@@ -178,11 +178,10 @@
 
 
 def test_a_read_asks_the_voters_of_what_it_learned_while_asking(tmp_path):
-    # Symptom: a document read back is older than one acknowledged. Sequence:
-    # c1 and c2 accept that c3, c4 and c5 vote from now on; these accept
-    # "second"; c0 asks c1 and c2 and hears of the new voters before their
-    # answers come. Cause: answers of the old voters taken for sure about a
-    # round that others decide.
+    # Failure: a read returns an older document than one acknowledged. c1 and c2
+    # accept c3, c4 and c5 as the next voters; these accept "second"; c0 calls c1
+    # and c2 and learns of the new voters before their answers arrive. The cause is
+    # relying on the old voters' answers about a round that others decide.
     net = cluster.make(tmp_path)
     assert net.propose("c0", 0, "first").accepted
     for host in ("c3", "c4", "c5"):
--- a/dunlinpoint/control/tests/test_reports.py
+++ b/dunlinpoint/control/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""How a control passes on what entries saw of requests that endpoints ended under."""
+"""Crash reports, passed on by a control from entries to its followers."""
 
 import pytest
 from twisted.internet import task
@@ -21,15 +21,15 @@
 
 
 def poll(control, reports_known, wait_ms=800):
-    """A follower's poll that knows the members and the document."""
+    """A poll of a follower that knows the members and the document."""
     _, state, handler = control
     asked = "z", state.membership.revision, 1 << 62, wait_ms, False, ""
     return handler.view(*asked, reports_known)
 
 
 def test_a_report_answers_the_polls_that_wait(control):
-    # Symptom feared: an entry hears of an end after its poll, when the request has come
-    # back to it.
+    # Failure: an entry learns of a crash only after its poll ends, when the request
+    # has already been sent to it again.
     reactor, state, handler = control
     waiting = poll(control, state.suspects.revision)
     reactor.advance(0.1)
@@ -57,7 +57,7 @@
 
 
 def test_followers_that_want_no_reports_get_none(control):
-    # Agents follow as well, on links of a few Mbit/s.
+    # Agents are followers too, on links of a few Mbit/s.
     _, _, handler = control
     handler.report([REPORT])
     shown = poll(control, None, wait_ms=0).result
--- a/dunlinpoint/control/tests/test_voters.py
+++ b/dunlinpoint/control/tests/test_voters.py
@@ -1,4 +1,4 @@
-"""Who votes next: replaced, added and dropped instances."""
+"""Changes of the voters: replaced, added and removed instances."""
 
 from dunlinpoint.control import discovery, voters
 from dunlinpoint.wire.gen.dunlin import ttypes
@@ -29,9 +29,8 @@
 
 
 def test_an_unheard_voter_gives_its_place_to_one_that_waits():
-    # Symptom: after a machine was replaced, the next loss stops all
-    # changes. Sequence: a is gone for good, d came in its place, then b
-    # fails. Cause: a set that still counts a.
+    # Failure: after machine a was replaced by d for good, the next failure (b)
+    # stops all changes, because a is still a voter.
     assert following([A, B, C], [D], a=voters.UNHEARD_MS + 1) == {"b", "c", "d"}
     assert following([A, B, C], [D], a=voters.UNHEARD_MS - 1) is None
 
@@ -75,9 +74,9 @@
 
 
 def test_instances_are_found_through_any_that_answers():
-    # Symptom: after all seeds were replaced, a control talks to nobody.
-    # Sequence: it is told a and b; b shows c; c announces itself; a and b
-    # are gone. Cause: calling only the addresses told at the start.
+    # Failure: after all seeds were replaced, a control is isolated, because it
+    # calls only its seeds. Its seeds are a and b; b lists c; c announces itself;
+    # then a and b are lost.
     known = discovery.Controls(voter("own"), [("a", 7000), ("b", 7000)], NOW)
     member = ttypes.Member(endpoint_id="c", kind=discovery.KIND, host="c", port=7000)
     known.show([member], NOW)
--- a/dunlinpoint/control/voters.py
+++ b/dunlinpoint/control/voters.py
@@ -1,23 +1,23 @@
-"""Which control instances vote, and when that set should change.
+"""The voting control instances, and when that set should change.
 
-The voters of a round are part of what the round before it decided, so the
-set is changed like a document, and no two disjoint majorities can both be
-believed in: a round has one set, known from the one decision before it.
+The voters of a round are part of the previous round's decision, so the set is
+changed like a document, and two disjoint majorities can never both be valid: a
+round has one set, known from the one decision before it.
 
 :func:`next_set` only proposes. Its rules, in this order:
 
-- An instance with a new disk at a voter's address takes that voter's place:
-  the old one cannot come back.
-- A voter unheard for :data:`UNHEARD_MS` gives its place to an instance that
-  waits. It may only be cut off; it then waits in its turn.
-- Two that wait are added at once: an even set bears no more losses than the
-  odd one below it.
-- Voters unheard for :data:`SHRINK_MS`, with nobody to take their place, leave
-  a set of more than :data:`MIN_VOTERS`.
-
-An instance that lost its disk has forgotten what it promised. It draws a new
-``node_id`` and so never answers for the voter it was: what goes wrong
-otherwise is a second document chosen for a round that was decided already.
+- An instance with a new disk at a voter's address replaces that voter: the old
+  one cannot return.
+- A voter that has been silent for :data:`UNHEARD_MS` is replaced by a candidate.
+  It may only be partitioned; it then becomes a candidate itself.
+- Candidates are added two at a time: an even set tolerates no more failures
+  than the odd set one smaller.
+- Voters silent for :data:`SHRINK_MS` without a replacement are removed as long
+  as at least :data:`MIN_VOTERS` remain.
+
+An instance that lost its disk no longer knows its promises. It draws a new
+``node_id``, so it never answers as its former voter; if it did, a second
+document could be chosen for a round that was already decided.
 """
 
 import hashlib
@@ -27,22 +27,22 @@
 
 from dunlinpoint.wire.gen.dunlin import ttypes
 
-# Three losses at once are borne by seven; more voters only cost messages.
+# Seven voters tolerate three simultaneous failures; more only cost messages.
 MAX_VOTERS = 7
 MIN_VOTERS = 3
-# Five announcements in a row. A successor counts as being there 4 s after its
-# start, and by then the next loss must be borne.
+# Five announcement intervals. A replacement instance is expected to be available
+# 4 s after its start, and by then the next failure must be tolerated.
 UNHEARD_MS = 2500
-# Longer than a machine takes to come back, so that it keeps its place.
+# Longer than a machine takes to restart, so that a restarted voter is not removed.
 SHRINK_MS = 15_000
-# Rounds that one who waits may be behind: a storm of changes decides some in
-# the time of one announcement.
+# Rounds that a candidate may lag: during a burst of changes several rounds are
+# decided between two announcements.
 LAG_ROUNDS = 16
 
 
 @attrs.frozen
 class Voter:
-    """One control instance: its id, address and availability zone."""
+    """A control instance: its id, address and availability zone."""
 
     node_id: str
     host: str
@@ -51,7 +51,7 @@
 
     @classmethod
     def from_message(cls, message):
-        """The voter of a ``Voter`` message."""
+        """The voter in a ``Voter`` message."""
         return cls(message.node_id, message.host, message.port, message.zone or "")
 
     @property
@@ -63,28 +63,31 @@
         return ttypes.Voter(self.node_id, self.host, self.port, self.zone)
 
     def to_saved(self):
-        """This voter as a list for a JSON file."""
+        """This voter as a list for the state file."""
         return [self.node_id, self.host, self.port, self.zone]
 
 
 def founder(host, port):
-    """The founding voter at an address that every first instance is told."""
+    """The founding voter at one of the seed addresses.
+
+    Its id follows from the address, so that all founders agree on it.
+    """
     return Voter(f"founder-{host}:{port}", host, port)
 
 
 def new_id():
-    """The id of an instance whose disk is empty and which founds nothing."""
+    """A random id, for an instance that has an empty disk and is no founder."""
     return uuid.uuid4().hex
 
 
 def tag(node_id):
-    """The part of a ballot that belongs to *node_id* alone (``int``, 32 bits)."""
+    """The low 32 bits of ballots of *node_id*, which identify it (``int``)."""
     digest = hashlib.blake2b(node_id.encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big")
 
 
 def majority(voters):
-    """How many of *voters* are more than half."""
+    """The smallest number of *voters* that is more than half."""
     return len(voters) // 2 + 1
 
 
@@ -96,7 +99,7 @@
 
 
 def _choose(waiting, voters):
-    """The one of *waiting* whose zone has the fewest of *voters*."""
+    """The candidate in *waiting* whose zone has the fewest *voters*."""
     counts = _zones(voters)
     return min(waiting, key=lambda w: (counts.get(w.zone, 0), w.node_id))
 
@@ -106,7 +109,7 @@
 
 
 def _grown(voters, waiting):
-    """*voters* and as many of *waiting* as make an odd set, or ``None``."""
+    """*voters* plus one or two of *waiting* to an odd number, or ``None``."""
     wanted = 2 if len(voters) % 2 else 1
     if len(waiting) < wanted or len(voters) + wanted > MAX_VOTERS:
         return None
@@ -119,7 +122,7 @@
 
 
 def _shrunk(voters, silent_ms):
-    """*voters* without those that are gone for good, or ``None``."""
+    """*voters* without those silent for ``SHRINK_MS``, or ``None``."""
     lost = [v for v in voters if silent_ms(v.node_id) > SHRINK_MS]
     leaving = 2 if len(voters) % 2 else 1
     if len(lost) < leaving or len(voters) - leaving < MIN_VOTERS:
@@ -128,10 +131,11 @@
 
 
 def next_set(voters, waiting, silent_ms):
-    """The voters that should follow *voters*, or ``None`` to leave them.
+    """The list of voters that should replace *voters*, or ``None`` for no change.
 
-    *waiting* are live instances that do not vote and hold the newest
-    decisions; ``silent_ms(node_id)`` tells for how long a voter is unheard.
+    *waiting* are the candidates: live instances that do not vote and hold recent
+    decisions. ``silent_ms(node_id)`` is the time since a voter's last
+    announcement, in ms.
     """
     for voter in voters:
         for heir in waiting:
@@ -145,9 +149,9 @@
 
 
 def is_turn(own_id, voters, silent_ms):
-    """Whether *own_id* is the one to propose a change of *voters*.
+    """Whether *own_id* is the instance that proposes changes of *voters*.
 
-    Several proposing at once would only take each other's ballots.
+    Concurrent proposers would only invalidate each other's ballots.
     """
     heard = [v.node_id for v in voters if silent_ms(v.node_id) <= UNHEARD_MS]
     return bool(heard) and min(heard) == own_id
--- a/dunlinpoint/follow/__init__.py
+++ b/dunlinpoint/follow/__init__.py
@@ -1,9 +1,9 @@
-"""What entries and agents know of the deployment, by following its controls.
+"""The view of the deployment that entries and agents poll from its controls.
 
 ==============  ==========================================================
 module          holds
 ==============  ==========================================================
-``controls``    which control instances are followed, and what they vouch for
+``controls``    the polled control instances, and what they vouch for
 ``view``        members by endpoint id, and the document in force
 ==============  ==========================================================
 """
--- a/dunlinpoint/follow/controls.py
+++ b/dunlinpoint/follow/controls.py
@@ -1,10 +1,11 @@
-"""Which control instances are followed, and what they vouch for.
-
-All that are known are followed: endpoints announce themselves to any of
-them. A follower is told some addresses at its start (the seeds) and learns
-the others from any that answers: the voters come with the document, the rest
-are members like endpoints are. Once it knows some, it asks the seeds again only
-when nobody else has answered for a while; a seed may long be another machine.
+"""The control instances that a follower polls, and what they vouch for.
+
+All known instances are polled, as endpoints announce themselves to any of them.
+A follower is configured with some addresses (the seeds) and learns the others
+from any instance that answers: the voters are part of the document, the rest are
+members like endpoints. Once it knows some, it polls the seeds again only after
+no instance has answered for a while, as a seed's address may have been reassigned
+to another machine.
 """
 
 import attrs
@@ -14,16 +15,16 @@
 from dunlinpoint.wire.gen.dunlin import Control
 
 CONTROL_TIMEOUT_MS = 1000
-# After so long without any answer, the seeds are asked as well.
+# After this time without any answer, the seeds are polled as well.
 LOST_MS = 3000
 
 
 @attrs.define(eq=False)
 class Follow:
-    """One control instance as this process follows it.
+    """The polling state of one control instance.
 
-    *confirmed_ms* is when it last held nothing newer than what we hold;
-    *reports_revision* names the reports on requests that it has told.
+    *confirmed_ms* is the last time at which it held no newer document than this
+    process; *reports_revision* is that of the last crash reports received from it.
     """
 
     link: rpc.Link
@@ -40,7 +41,7 @@
 
 @attrs.define
 class Controls:
-    """Followed control instances by address."""
+    """Polled control instances by address, a (host, port)."""
 
     reactor: object
     seeds: list
@@ -48,16 +49,16 @@
     followed_by_address: dict = attrs.field(factory=dict)
 
     def answered_ms(self):
-        """When any of them last answered, or ``None``."""
+        """The time of the last answer of any instance, or ``None``."""
         times = [f.answered_ms for f in self.followed_by_address.values()]
         return max((t for t in times if t is not None), default=None)
 
     def all(self):
-        """Every ``Follow`` there is."""
+        """All ``Follow`` objects."""
         return self.followed_by_address.values()
 
     def update(self, known, now):
-        """Follow the addresses *known*, drop others; the new ``Follow`` ones."""
+        """Poll the addresses *known* only; returns the new ``Follow`` objects."""
         answered_ms = self.answered_ms()
         last_ms = self.started_ms if answered_ms is None else answered_ms
         wanted = set(known)
@@ -77,10 +78,10 @@
         return added
 
     def confirmed_ms(self, voting):
-        """When a majority of *voting* last held nothing newer, or ``None``.
+        """The last time a majority of *voting* held no newer document, or ``None``.
 
-        Whoever answers at a voter's address under another id has an empty
-        disk, and vouches for nothing the voter may have accepted.
+        An instance that answers at a voter's address under another id started with
+        an empty disk and cannot vouch for what that voter may have accepted.
         """
         times = []
         for voter in voting:
--- a/dunlinpoint/follow/tests/test_view.py
+++ b/dunlinpoint/follow/tests/test_view.py
@@ -1,4 +1,4 @@
-"""What a follower believes of its controls: documents, voters, vouching."""
+"""A follower's view of its controls: documents, voters, members, vouching."""
 
 from twisted.internet import task
 
@@ -49,7 +49,7 @@
 
 
 def test_an_empty_successor_does_not_vouch_for_the_voter_it_was():
-    # Guards against counting addresses: a key that was taken away would work.
+    # Counting answers by address instead of voter id would accept a revoked key.
     _, found, by_name = follower()
     found.merge(by_name["a"], shown("a", document(1)), 10)
     found.merge(by_name["b"], shown("b", node_id="new"), 30)
@@ -57,7 +57,8 @@
 
 
 def test_what_is_known_to_be_old_is_not_vouched_for():
-    # Guards against an answer that hints at a newer document vouching for this one.
+    # Guards against an answer that announces a newer document and still vouches for
+    # the current one.
     _, found, by_name = follower()
     found.merge(by_name["a"], shown("a", document(1)), 10)
     found.merge(by_name["b"], shown("b", document(2, body=None)), 30)
@@ -84,7 +85,7 @@
 
 
 def test_seeds_are_asked_again_when_nobody_answers():
-    # Guards against a follower without any control for good.
+    # Guards against a follower that stays without any control.
     clock = task.Clock()
     known = controls.Controls(clock, [("seed", 7000)], 0)
     assert [f.link.host for f in known.update([], 0)] == ["seed"]
@@ -96,7 +97,7 @@
 
 
 def test_a_list_that_says_nothing_new_changes_nothing():
-    # Guards against sorting all endpoints again for every renewed lease.
+    # Guards against sorting all endpoints again whenever a lease is renewed.
     _, found, by_name = follower()
 
     def listed(lease_left_ms, **changed):
@@ -117,7 +118,8 @@
 
 
 def test_members_dropped_in_a_cut_are_listed_again():
-    # Guards against an unchanged list that leaves out what was dropped meanwhile.
+    # Guards against members that stay missing because the list of the control that
+    # vouches for them is unchanged since they were dropped here.
     clock, found, by_name = follower()
     listed = shown("a")
     listed.members = [
@@ -139,7 +141,8 @@
 
 
 def test_controls_that_know_different_lives_of_an_endpoint():
-    # Guards against ordering what controls show by counts that start anew.
+    # Guards against ordering member records by sequence numbers alone, which restart
+    # with each incarnation.
     def listed(name, **fields):
         base = {"endpoint_id": "e", "host": "h", "port": 1, "kind": "service"}
         answer = shown(name)
@@ -158,7 +161,7 @@
 
 
 def test_a_follower_on_a_narrow_link_takes_documents_at_its_own_rhythm():
-    # Guards against a lead's link full of documents that it hardly needs.
+    # Guards against a group leader's link saturated by documents it hardly needs.
     clock, found, by_name = follower()
     found.min_body_interval_ms = 2000
     found.merge(by_name["a"], shown("a", document(1)), 10)
@@ -173,7 +176,7 @@
 
 
 def test_a_control_that_knows_few_entries_does_not_make_them_fewer():
-    # Guards against entries that each take a whole limit after controls started anew.
+    # Guards against entries that each use a whole rate limit after controls restarted.
     clock, found, by_name = follower()
 
     def count(name, entry, entries):
--- a/dunlinpoint/follow/view.py
+++ b/dunlinpoint/follow/view.py
@@ -1,18 +1,18 @@
-"""What a follower knows of the deployment: members and the document in force.
-
-It follows every control instance by long polls: each answers at once when it
-knows something the follower does not, and otherwise after ``wait_ms``.
-
-- A member is live while some control still vouches for its lease. When no
-  control has answered for a whole lease, the follower is the one cut off: it
-  keeps the members it last knew and finds out by trying them.
-- The document is that of the highest round any control has shown: an isolated
-  control showing an older one cannot make the follower go back.
-- ``confirmed_ms`` is the last moment at which a majority of the voters are
-  known to have held no newer document. Every accepted document is held by a
-  majority of them before its operator hears of it, so one of those asked
-  would have shown it. Work that a newer document may have forbidden (a key
-  taken away) is refused once that moment is too long ago.
+"""A follower's view of the deployment: members and the document in force.
+
+It long-polls every control instance: each answers at once if it knows something
+that the follower does not, and otherwise after ``wait_ms``.
+
+- A member is live while some control vouches for its lease. If no control has
+  answered for a whole lease, the follower itself is partitioned: it keeps the
+  last known members, and requests to them show which ones can be reached.
+- The document is that of the highest round received from any control, so an
+  isolated control with an older one cannot revert it.
+- ``confirmed_ms`` is the last time at which a majority of the voters are known to
+  have held no newer document. Every accepted document is held by a majority of
+  them before it is acknowledged to its operator, so one of those polled would
+  have returned it. Work that a newer document may have forbidden (a revoked key)
+  is refused once that time is too long ago.
 """
 
 from __future__ import annotations
@@ -29,46 +29,52 @@
 
 log = logs.logger("follow")
 
-# The longest a control holds a poll. It bounds how often an idle entry asks
-# (bytes between zones) and how old ``confirmed_ms`` can grow in calm times.
+# The longest time a control holds a poll. It bounds the poll rate of an idle entry
+# (traffic between zones) and the age of ``confirmed_ms`` while nothing changes.
 WAIT_MS = 800
-# The pause between polls of one control, so that a stream of changes is
-# taken in batches.
+# The interval between polls of one control, so that frequent changes are received
+# in batches.
 PAUSE_MS = 50
 RETRY_MS = 300
-# The revision of no list: whoever is asked with it lists all members.
+# The revision of no list: a control polled with it returns all members.
 NO_REVISION = 0
-# How often it is looked whose lease has run out.
+# The interval between checks for expired leases.
 FORGET_MS = 50
-# How often it is looked whether other controls are to be followed.
+# The interval between updates of the set of polled controls.
 FOLLOW_MS = 250
-# The pause of a follower that was told of a newer document and does not want it yet:
-# it would be told again at once.
+# The poll interval of a follower that was notified of a newer document but delays
+# fetching it: the next poll would be answered at once with the same notification.
 HINTED_PAUSE_MS = 300
-# How long an entry waits for a new document from its own zone's control
-# before it asks another zone's for it.
+# How long an entry waits for a new document from its own zone's control before it
+# requests it from another zone's.
 OTHER_ZONE_PAUSE_MS = 120
-# When no control has shown as many entries for so long, there are fewer: controls
-# forget one after 4 s.
+# The number of entries is reduced only after no control has reported as many for
+# this time: controls drop an entry 4 s after its last poll.
 FEWER_ENTRIES_MS = 5000
 
 
 @attrs.define
 class Seen:
-    """One member as last shown, and until when it is vouched for."""
+    """A member as last received, and until when a control vouches for it."""
 
     member: ttypes.Member
     expires_ms: int
 
 
 def shape(member):
-    """What of a member a choice among members depends on."""
+    """The fields of a member that the choice among members depends on."""
     return *membership.routed(member), member.load, member.group, member.engine
 
 
 @attrs.define
 class View:
-    """Members by endpoint id, and the document in force."""
+    """Members by endpoint id, and the document in force.
+
+    The callables in ``on_document`` are called with each new document, those in
+    ``on_reports`` with a list of crash reports, those in ``on_change`` without
+    arguments after each answer of a control. Times (``_ms``) are of this process's
+    clock.
+    """
 
     clock: clock.Clock
     zone: str
@@ -98,14 +104,14 @@
 
     @classmethod
     def from_config(cls, reactor, zone, seeds):
-        """A view fed by the controls that *seeds* (``[(host, port)]``) lead to."""
+        """A view of the deployment with the controls *seeds* (``[(host, port)]``)."""
         ms_clock = clock.Clock(reactor)
         return cls(
             ms_clock, zone, controls.Controls(reactor, list(seeds), ms_clock.now())
         )
 
     def merge(self, follow, shown, asked_ms):
-        """Take in one control's ``View``, asked for at *asked_ms*."""
+        """Merge *shown*, a control's ``View`` that was requested at *asked_ms*."""
         self._merge(follow, shown, asked_ms)
         for hear in self.on_change:
             hear()
@@ -141,7 +147,8 @@
         if document is None or document.round <= self.document.round:
             follow.asks_bodies = follow.zone == self.zone
         elif document.body is None:
-            # Vouching for what is older than this would be false.
+            # This control holds a newer document than the one in force here, so
+            # ``confirmed_ms`` must not advance.
             follow.asks_bodies = self.wants_body()
             return
         else:
@@ -151,9 +158,9 @@
             follow.confirmed_ms = asked_ms
 
     def _count_entries(self, shown, now):
-        """Take in which of how many entries this one is, of all zones.
+        """Update this entry's position among the entries of all zones.
 
-        A control that has just started, or is cut off, knows of fewer than there are.
+        A control that has just started, or is partitioned, knows too few of them.
         """
         fewer = (shown.entries or 0) < self.entry_count
         if shown.entries and (not fewer or now - self.entries_ms > FEWER_ENTRIES_MS):
@@ -161,19 +168,19 @@
             self.entries_ms = now
 
     def wants_body(self):
-        """Whether a newer document is to be sent now, or later.
+        """Whether to fetch the body of a newer document now.
 
-        A document of 1,400 routes is 51 KB, a tenth of a second of a link of 4 Mbit/s.
-        With one each 0.3 s, from two controls, a lead's link was full, and its change
-        of map took 2.8 s. ``min_body_interval_ms`` spares that to who needs little of
-        it.
+        A document of 1,400 routes is 51 KB, which takes 0.1 s on a link of 4 Mbit/s.
+        With one every 0.3 s from each of two controls, a group leader's link was
+        saturated, and its map switch took 2.8 s. ``min_body_interval_ms`` limits the
+        rate for followers that need little of the document.
         """
         if self.body_ms is None:
             return True
         return self.clock.now() - self.body_ms >= self.min_body_interval_ms
 
     def _drop(self, follow, endpoint_ids, now):
-        """*follow* vouches for *endpoint_ids* no longer; some other may."""
+        """Expire members dropped by *follow* that no other control has listed."""
         follow.member_ids.difference_update(endpoint_ids)
         listed = set().union(*(f.member_ids for f in self.controls.all()))
         for endpoint_id in set(endpoint_ids) - listed:
@@ -182,12 +189,13 @@
                 seen.expires_ms = min(seen.expires_ms, now)
 
     def _renew(self, follow, expires_ms):
-        """All that *follow* listed, and did not drop since, is as it was.
+        """Extend the leases of all members that *follow* has listed and not dropped.
 
-        Members of its list that were dropped meanwhile must be listed again. After
-        a cut, the first control to answer has those dropped that only others vouch
-        for; one of these whose list had not changed then said so, and an entry went
-        on without any endpoint for as long as nothing changed (17 s seen).
+        If some were dropped here meanwhile, the complete list is requested again.
+        After a partition, the first control to answer causes members to be dropped
+        that only other controls vouch for. When one of those then answered that its
+        list was unchanged, the members stayed missing, and an entry had no endpoint
+        until the next change (17 s).
         """
         for endpoint_id in follow.member_ids:
             seen = self.by_id.get(endpoint_id)
@@ -197,7 +205,7 @@
                 follow.revision = NO_REVISION
 
     def _enforce(self, document):
-        """Put a newer *document* in force, and follow its voters."""
+        """Put a newer *document* in force, with its voters."""
         changed = document.version != self.document.version
         self.document = document
         self.voting = [voters.Voter.from_message(v) for v in document.voters]
@@ -219,7 +227,7 @@
             seen.expires_ms = max(seen.expires_ms, expires_ms)
 
     def _forget(self, now):
-        """Drop members nobody vouches for, while some control answers."""
+        """Drop members that no control vouches for, unless no control answers."""
         answered_ms = self.controls.answered_ms()
         if answered_ms is None or answered_ms < now - self.lease_ms:
             return
@@ -232,7 +240,7 @@
         self.live_by_kind = {}
 
     def live(self, kind):
-        """Members of *kind* that take new work."""
+        """Members of *kind* that accept new requests (not draining, not gone)."""
         now = self.clock.now()
         if now - self.forgot_ms >= FORGET_MS:
             self.forgot_ms = now
@@ -249,7 +257,7 @@
         return live
 
     def set_seeds(self, seeds):
-        """Take *seeds* in the place of those told before."""
+        """Replace the seeds by *seeds*, a sequence of (host, port)."""
         self.controls.seeds = list(seeds)
 
     def endpoints(self):
@@ -259,12 +267,12 @@
 
     @property
     def confirmed_ms(self):
-        """When a majority of the voters last held nothing newer, or ``None``."""
+        """The last time a majority of voters held no newer document, or ``None``."""
         return self.controls.confirmed_ms(self.voting)
 
     @defer.inlineCallbacks
     def poll(self, follow):
-        """Ask one control once; the pause before the next poll, in ms."""
+        """Poll one control; a Deferred of the delay before its next poll, in ms."""
         asked_ms = self.clock.now()
         follow.asks_bodies = follow.asks_bodies and self.wants_body()
         try:
@@ -281,14 +289,12 @@
                 timeout_ms=self.wait_ms + controls.CONTROL_TIMEOUT_MS,
             )
         except errors.WireError:
-            # A connection that went silent answers nothing until it is
-            # closed: reopened, the next poll finds out whether the control
-            # is there.
+            # A connection can stop delivering answers without being reset. The
+            # next poll opens a new one, which shows whether the control is up.
             follow.link.close()
             return RETRY_MS
-        # A long poll that changed nothing vouches for the moment it was
-        # answered; one answered at once, for the moment it was asked. The
-        # earlier of the two is always true.
+        # An answer without changes is valid as of its arrival, an immediate one as
+        # of the request. The time of the request holds in both cases.
         self.merge(follow, shown, asked_ms)
         hinted = shown.document is not None and shown.document.body is None
         if not hinted:
--- a/dunlinpoint/wire/__init__.py
+++ b/dunlinpoint/wire/__init__.py
@@ -1,6 +1,6 @@
-"""Thrift messages between dunlinpoint's processes, and how they travel.
+"""Thrift messages between dunlinpoint's processes, and their transport.
 
 ``dunlin.thrift`` is the service definition; ``gen/`` its generated code,
-committed so the build needs no generator; :mod:`.rpc` opens links and
-servers and turns transport failures into this layer's errors.
+committed so that the build needs no generator; :mod:`.rpc` opens connections
+and servers and converts transport failures to the errors in :mod:`.errors`.
 """
--- a/dunlinpoint/wire/errors.py
+++ b/dunlinpoint/wire/errors.py
@@ -1,20 +1,20 @@
-"""Errors of the wire layer: what a caller can know about a failed call."""
+"""Errors of the wire layer, by what the caller knows about a failed call."""
 
 
 class WireError(Exception):
-    """A call between our processes did not get an answer."""
+    """A call between dunlinpoint's processes failed."""
 
 
 class NotSent(WireError):
-    """The call never left: no connection could be made. The peer did nothing."""
+    """The call was not sent, as no connection could be made; it had no effect."""
 
 
 class OutcomeUnknown(WireError):
-    """The call was sent but no answer came (connection lost or timeout).
+    """The call was sent but not answered (connection lost or timeout).
 
-    The peer may or may not have acted on it.
+    The peer may or may not have executed it.
     """
 
 
 class PeerFailed(OutcomeUnknown):
-    """The peer answered that it failed within; it may have acted or not."""
+    """The peer reported an internal error; it may or may not have executed the call."""
--- a/dunlinpoint/wire/rpc.py
+++ b/dunlinpoint/wire/rpc.py
@@ -2,7 +2,7 @@
 
 A :class:`Link` is one lazily opened connection to a peer's service; calls on
 it return Deferreds that fail only with :mod:`dunlinpoint.wire.errors` or the
-service's own declared exceptions (``Refused``).
+service's declared exceptions (``Refused``).
 """
 
 from thrift import Thrift
@@ -26,13 +26,13 @@
 class Link:
     """One connection to a thrift service at ``host:port``, reopened after loss.
 
-    Calls that find no connection fail with ``NotSent``; calls whose
-    connection drops or whose answer takes longer than *timeout_ms* fail with
-    ``OutcomeUnknown``; the connection is dropped if nothing else was answered on it
-    meanwhile. A late answer after a timeout is dropped by the client: the
-    request stays registered until then, so the thrift client never meets a
-    reply it does not know, which would otherwise close the connection for
-    every call sharing it.
+    Calls fail with ``NotSent`` if no connection can be made, and with
+    ``OutcomeUnknown`` if the connection is lost or the answer takes longer than
+    *timeout_ms*; after a timeout the connection is closed if no other call was
+    answered on it meanwhile. An answer that arrives after its timeout is discarded:
+    the request stays registered with the thrift client until then, because an
+    unknown reply would make the client close the connection for all calls that
+    share it.
     """
 
     def __init__(self, reactor, host, port, client_class, timeout_ms):
@@ -116,9 +116,9 @@
                     errors.OutcomeUnknown(f"{self.address}: {method}: connection lost")
                 )
             elif failure.check(Thrift.TApplicationException):
-                # Left as the library's own error it passed every handler of
-                # wire errors: an agent's heartbeat loop ended at the first
-                # one, and the agent was never heard of again.
+                # The library's own error is not handled as a ``WireError``: an
+                # agent's heartbeat loop ended at the first one, and the agent
+                # dropped out of the membership for good.
                 outer.errback(
                     errors.PeerFailed(f"{self.address}: {method}: {failure.value}")
                 )
@@ -132,11 +132,11 @@
         return outer
 
     def _time_out(self, outer, answers_before, exc):
-        """Give up once what has arrived is read.
+        """Time out after the answers that have already arrived have been read.
 
-        A process that was busy for longer than the timeout finds its timers due
-        before it reads its connections. It took 70 ranks for silent whose answers
-        were there, and called each of their engines instead.
+        In a process that was busy for longer than the timeout, timers run before
+        connections are read. It took 70 ranks for unresponsive although their
+        answers had arrived, and called each of their engines instead.
         """
         self.reactor.callLater(0, self._give_up, outer, answers_before, exc)
 
@@ -144,15 +144,15 @@
         if outer.called:
             return
         if self._answers == answers_before:
-            # A connection can go silent for good without being reset, while a
-            # new one to the same peer works: kept, it would cut the peer off
-            # for as long as both processes live.
+            # A connection can stop delivering data without being reset while a new
+            # one to the same peer works: if it were kept, the peer would stay
+            # unreachable until one of the processes restarts.
             self.close()
         if not outer.called:
             outer.errback(exc)
 
     def close(self):
-        """Drop the connection; later calls open a new one."""
+        """Close the connection; later calls open a new one."""
         if self._protocol is not None and self._protocol.transport is not None:
             self._protocol.transport.abortConnection()
         self._protocol = None
@@ -168,7 +168,7 @@
         self.link_by_address = {}
 
     def to(self, host, port):
-        """The link to ``host:port``, new if there is none."""
+        """The link to ``host:port``, created if there is none."""
         link = self.link_by_address.get((host, port))
         if link is None:
             link = Link(self.reactor, host, port, self.client_class, self.timeout_ms)
--- a/dunlinpoint/wire/tests/test_rpc.py
+++ b/dunlinpoint/wire/tests/test_rpc.py
@@ -1,4 +1,4 @@
-"""Links: what a failed call may look like to its caller."""
+"""Links: the errors that callers receive, and timeouts."""
 
 from thrift import Thrift
 from twisted.internet import defer, task
@@ -12,9 +12,9 @@
 
 
 def test_a_peer_that_fails_within_is_a_wire_error():
-    # Symptom: an agent drops out of membership for good. Sequence: one
-    # heartbeat meets an internal error at control. Cause: the library's
-    # error passed through as it was, and ended the agent's heartbeat loop.
+    # Failure: an agent drops out of the membership for good, because control answers
+    # one heartbeat with an internal error and the thrift library's own error, passed
+    # through unchanged, ends the agent's heartbeat loop.
     link = rpc.Link(task.Clock(), "127.0.0.1", 1, None, 1000)
     link._connect = lambda: defer.succeed(FailingClient())
     failures = []
@@ -24,7 +24,7 @@
 
 
 class Reactor:
-    """Calls to be made later, in the order in which they were asked for."""
+    """Delayed calls in the order in which they were scheduled."""
 
     def __init__(self):
         self.calls = []
@@ -43,10 +43,10 @@
 
 
 def test_an_answer_that_waits_to_be_read_is_not_late():
-    # Symptom: a lead takes 70 ranks for silent at once and calls each one's engine;
-    # a change of map takes 2.8 s. Sequence: the process is busy for longer than the
-    # timeout; answers arrive meanwhile; timers are due before connections are read.
-    # Cause: giving up in the timer.
+    # Failure: a group leader takes 70 ranks for unresponsive at once and calls each
+    # one's engine, and a map switch takes 2.8 s. The process is busy for longer than
+    # the timeout while answers arrive; then timers run before connections are read,
+    # so a call that fails directly in its timer ignores an answer that has arrived.
     reactor, answer, heard = Reactor(), defer.Deferred(), []
     link = rpc.Link(reactor, "127.0.0.1", 1, None, 250)
 
