--- a/dunlinpoint/config/document.py
+++ b/dunlinpoint/config/document.py
@@ -298,13 +298,13 @@
     raw = json.loads(text)
     found = [s for s in raw["services"] if s["name"] == service and s.get("experts")]
     experts = converter.structure(found[0]["experts"], Experts) if found else None
-    pauses = [
+    gaps = [
         route["pause_ms"]
         for route in raw["routes"]
         if route.get("pause_ms")
         and any(share["service"] == service for share in route["split"])
     ]
-    return experts, min(pauses, default=0)
+    return experts, min(gaps, default=0)
 
 
 def dump(doc):
--- a/dunlinpoint/control/acceptor.py
+++ b/dunlinpoint/control/acceptor.py
@@ -18,7 +18,7 @@
 log = logs.logger("control")
 
 # Change ids kept to recognise retried changes.
-HISTORY = 1024
+MAX_CHANGE_IDS = 1024
 # A ballot has its counter above the low 32 bits, which identify the proposer.
 BALLOT_STRIDE = 1 << 32
 
@@ -84,7 +84,7 @@
 
     ``unfounded`` is set while it is unknown whether this is a founder's first
     start or a founder that lost its disk. ``recent`` holds the last
-    ``[change_id, version]`` pairs. The callables in ``on_learn`` are called
+    ``[change_id, version]`` pairs. The callables in ``on_commit`` are called
     without arguments after each new decision.
     """
 
@@ -98,7 +98,7 @@
     highest_ballot: int = 0
     recent: list = attrs.field(factory=list)
     unfounded: bool = False
-    on_learn: list = attrs.field(factory=list)
+    on_commit: list = attrs.field(factory=list)
 
     @classmethod
     def from_config(cls, folder, own=None, founders=(), bootstrap=True):
@@ -108,33 +108,33 @@
         instance's address, if any. With *bootstrap*, missing state means a first
         start; without it, the disk may have been lost.
         """
-        kept = store.Store(folder)
-        saved = kept.load()
-        first = Decision(voters=tuple(founders))
+        state_store = store.Store(folder)
+        saved = state_store.load()
+        initial = Decision(voters=tuple(founders))
         if saved:
-            return cls.from_saved(kept, saved, own, first)
+            return cls.from_saved(state_store, saved, own, initial)
         if own is not None and bootstrap:
-            acceptor = cls(kept, own.node_id, committed=first)
+            acceptor = cls(state_store, own.node_id, committed=initial)
         else:
             acceptor = cls(
-                kept,
+                state_store,
                 voters.new_id(),
                 # Without *bootstrap* the seed addresses may belong to other
                 # instances than the founders.
-                committed=first if bootstrap else Decision(),
+                committed=initial if bootstrap else Decision(),
                 unfounded=own is not None,
             )
         acceptor.save()
         return acceptor
 
     @classmethod
-    def from_saved(cls, kept, saved, own, first):
+    def from_saved(cls, state_store, saved, own, initial):
         """The acceptor in *saved*, the dict of a state file."""
         if "node_id" not in saved:
-            saved = _with_voters(saved, own, first)
+            saved = _upgrade_state(saved, own, initial)
         accepted = saved["accepted"]
         return cls(
-            kept,
+            state_store,
             node_id=saved["node_id"],
             committed=Decision.from_saved(saved["committed"]),
             round=saved["round"],
@@ -186,7 +186,7 @@
         """The current state as a ``Promise`` message, without promising anything."""
         return self._promise(node_id == self.node_id, known_round)
 
-    def _move_to(self, number):
+    def _enter_round(self, number):
         if number > self.round:
             self.round = number
             self.promised = 0
@@ -198,7 +198,7 @@
         self.highest_ballot = max(self.highest_ballot, ballot)
         if node_id != self.node_id or number < self.round:
             return self._promise(False, number - 1)
-        self._move_to(number)
+        self._enter_round(number)
         ok = ballot > self.promised
         if ok:
             self.promised = ballot
@@ -209,7 +209,7 @@
         """Accept *document* for round *number* under *ballot*; whether accepted."""
         if node_id != self.node_id or number < self.round:
             return False
-        self._move_to(number)
+        self._enter_round(number)
         if ballot < self.promised:
             return False
         self.promised = ballot
@@ -218,7 +218,7 @@
         self.save()
         return True
 
-    def take(self, decision):
+    def commit(self, decision):
         """Commit *decision* if it is newer than the committed one; whether it was."""
         if decision.round <= self.committed.round or decision.body is None:
             return False
@@ -227,9 +227,9 @@
         self.unfounded = False
         if changed:
             self.recent = (self.recent + [[decision.change_id, decision.version]])[
-                -HISTORY:
+                -MAX_CHANGE_IDS:
             ]
-        self._move_to(decision.round + 1)
+        self._enter_round(decision.round + 1)
         try:
             self.save()
         except store.StoreError as exc:
@@ -242,8 +242,8 @@
             version=decision.version,
             voters=[v.node_id for v in decision.voters],
         )
-        for hear in self.on_learn:
-            hear()
+        for callback in self.on_commit:
+            callback()
         return True
 
     def learn(self, chosen, ballot):
@@ -255,9 +255,9 @@
         """
         if self.round == chosen.round and self.accepted:
             if self.accepted_ballot == ballot:
-                self.take(self.accepted)
+                self.commit(self.accepted)
 
-    def found(self, own, founders, states):
+    def become_founder(self, own, founders, states):
         """Become the founder *own*, bound by the promises in the others' *states*."""
         self.node_id = own.node_id
         self.committed = attrs.evolve(self.committed, voters=tuple(founders))
@@ -278,16 +278,18 @@
     def next_ballot(self):
         """A ballot above all seen ones that only this instance uses."""
         rounds = self.highest_ballot // BALLOT_STRIDE + 1
-        self.highest_ballot = rounds * BALLOT_STRIDE + voters.tag(self.node_id)
+        self.highest_ballot = rounds * BALLOT_STRIDE + voters.ballot_suffix(
+            self.node_id
+        )
         return self.highest_ballot
 
 
-def _with_voters(saved, own, first):
+def _upgrade_state(saved, own, initial):
     """Convert *saved* from the state format without voters to the current one.
 
     In the old format each version is one round, and its voters are the founders.
     """
-    voting = [v.to_saved() for v in first.voters]
+    voting = [v.to_saved() for v in initial.voters]
 
     def decision(old):
         return old and old | {"round": old["version"], "voters": voting}
--- a/dunlinpoint/control/agreement.py
+++ b/dunlinpoint/control/agreement.py
@@ -37,9 +37,9 @@
 log = logs.logger("control")
 
 # Attempts of a read. A new attempt is needed when the answers change the voters.
-READ_ROUNDS = 5
+READ_ATTEMPTS = 5
 # Attempts of a proposal. A new one is needed when a change of voters takes its round.
-PROPOSE_ROUNDS = 3
+PROPOSE_ATTEMPTS = 3
 NOTHING_KNOWN = -1
 
 
@@ -79,7 +79,7 @@
             return defer.maybeDeferred(getattr(self.local, method), *args)
         return self.link_to(*voter.address).call(method, *args)
 
-    def _quorum(self, voting, method, args, good):
+    def _quorum(self, voting, method, args, is_success):
         """The answers to *method* once a majority are *good* or all have arrived.
 
         Returns a Deferred of a list. Only a majority is waited for: a call to a
@@ -95,20 +95,20 @@
         answers = []
         waiting = [len(calls)]
 
-        def settle(value, ok):
+        def collect(value, ok):
             waiting[0] -= 1
             if ok:
                 answers.append(value)
             elif not value.check(errors.WireError):
                 log.error("call_failed", call=method, error=value.getErrorMessage())
-            enough = sum(1 for a in answers if good(a)) >= voters.majority(voting)
+            enough = sum(1 for a in answers if is_success(a)) >= voters.majority(voting)
             if not done.called and (enough or waiting[0] == 0):
                 done.callback(list(answers))
 
         for call in calls:
             call.addCallbacks(
-                settle,
-                lambda failure: settle(failure, False),
+                collect,
+                lambda failure: collect(failure, False),
                 callbackArgs=(True,),
             )
         return done
@@ -131,7 +131,7 @@
 
     def learn(self, decision, ballot):
         """Notify all instances that *decision* was chosen, without waiting."""
-        self.local.take(decision)
+        self.local.commit(decision)
         chosen = decision.to_message(with_body=False)
         for address in self.everyone():
             self.link_to(*address).call("learn", chosen, ballot).addErrback(
@@ -140,7 +140,7 @@
 
 
 @defer.inlineCallbacks
-def found(peers, own, founders):
+def check_founding(peers, own, founders):
     """Determine whether an instance without state is a founder's first start.
 
     It is if every other founder answers and none has decided or accepted
@@ -158,10 +158,10 @@
     results = yield defer.DeferredList(calls, consumeErrors=True)
     states = [state for ok, state in results if ok]
     for state in states:
-        local.take(acceptors.Decision.from_message(state.committed))
+        local.commit(acceptors.Decision.from_message(state.committed))
     empty = [s for s in states if not s.committed.round and s.accepted is None]
     if local.unfounded and len(empty) == len(others):
-        local.found(own, founders, empty)
+        local.become_founder(own, founders, empty)
 
 
 @defer.inlineCallbacks
@@ -173,31 +173,31 @@
     round is completed before an older decision is returned.
     """
     local = peers.local
-    for _ in range(READ_ROUNDS):
+    for _ in range(READ_ATTEMPTS):
         voting = peers.voters
         number = local.committed.round
         states = yield peers.inspect(voting)
-        sound = [state for state in states if state.ok]
-        if not voting or len(sound) < voters.majority(voting):
+        valid = [state for state in states if state.ok]
+        if not voting or len(valid) < voters.majority(voting):
             return None
-        newest = max(sound, key=lambda state: state.committed.round)
-        local.take(acceptors.Decision.from_message(newest.committed))
+        newest = max(valid, key=lambda state: state.committed.round)
+        local.commit(acceptors.Decision.from_message(newest.committed))
         if local.committed.round != number:
             # A newer decision was learned from the answers or meanwhile. Its
             # voters may differ, and theirs are the answers that count.
             continue
-        if not any(s.accepted and s.accepted.round > number for s in sound):
+        if not any(s.accepted and s.accepted.round > number for s in valid):
             return local.committed
         yield decide(peers, number + 1, None)
     return None
 
 
 @defer.inlineCallbacks
-def decide(peers, number, mine):
+def decide(peers, number, proposal):
     """Run round *number*; a Deferred of the ``Decision`` it chose, or ``None``.
 
-    Proposes *mine* unless another decision was already accepted; with *mine*
-    ``None`` it only completes a round that another proposer began.
+    Proposes *proposal* unless another decision was already accepted; with
+    *proposal* ``None`` it only completes a round that another proposer began.
     """
     local = peers.local
     voting = peers.voters
@@ -207,7 +207,7 @@
     promises = yield peers.prepare(voting, number, ballot)
     newest = max(promises, key=lambda p: p.committed.round, default=None)
     if newest is not None and newest.committed.round >= number:
-        local.take(acceptors.Decision.from_message(newest.committed))
+        local.commit(acceptors.Decision.from_message(newest.committed))
         return None
     granted = [p for p in promises if p.ok]
     for promise in promises:
@@ -219,7 +219,7 @@
         key=lambda p: p.accepted_ballot,
         default=None,
     )
-    chosen = mine
+    chosen = proposal
     if prior is not None:
         chosen = acceptors.Decision.from_message(prior.accepted)
     if chosen is None:
@@ -238,21 +238,21 @@
     Returns a Deferred of an ``Outcome``.
     """
     local = peers.local
-    for _ in range(PROPOSE_ROUNDS):
+    for _ in range(PROPOSE_ATTEMPTS):
         known = local.version_of(change_id)
         if known is not None:
             return Outcome(True, known, "resent")
         current = local.committed
         if expected_version != current.version:
             return Outcome(False, current.version, "version_conflict")
-        mine = attrs.evolve(
+        proposal = attrs.evolve(
             current,
             round=current.round + 1,
             version=current.version + 1,
             change_id=change_id,
             body=packed.pack(text),
         )
-        chosen = yield decide(peers, mine.round, mine)
+        chosen = yield decide(peers, proposal.round, proposal)
         if chosen is not None and chosen.change_id == change_id:
             return Outcome(True, chosen.version)
         if local.committed.round == current.round:
@@ -264,9 +264,9 @@
 
 
 @defer.inlineCallbacks
-def change_voters(peers, following):
-    """Try to make *following* the next voters; a Deferred of whether it succeeded."""
+def change_voters(peers, next_voters):
+    """Try to decide on *next_voters*; a Deferred of whether it succeeded."""
     current = peers.local.committed
-    mine = attrs.evolve(current, round=current.round + 1, voters=tuple(following))
-    chosen = yield decide(peers, mine.round, mine)
-    return chosen is not None and chosen.voters == mine.voters
+    proposal = attrs.evolve(current, round=current.round + 1, voters=tuple(next_voters))
+    chosen = yield decide(peers, proposal.round, proposal)
+    return chosen is not None and chosen.voters == proposal.voters
--- a/dunlinpoint/control/discovery.py
+++ b/dunlinpoint/control/discovery.py
@@ -18,7 +18,7 @@
 ANNOUNCE_MS = 500
 # How long an instance listed by another one is called without having announced
 # itself here.
-SHOWN_MS = 5000
+LISTED_TIMEOUT_MS = 5000
 
 
 def checksum(addresses):
@@ -28,12 +28,12 @@
 
 
 @attrs.define
-class Heard:
+class Announcement:
     """The last announcement of another instance."""
 
     voter: voters.Voter
     round: int
-    at_ms: int
+    received_ms: int
 
 
 @attrs.define
@@ -46,62 +46,68 @@
     own: voters.Voter
     seeds: list
     started_ms: int
-    heard_by_id: dict = attrs.field(factory=dict)
-    shown_ms_by_address: dict = attrs.field(factory=dict)
+    announcement_by_id: dict = attrs.field(factory=dict)
+    listed_ms_by_address: dict = attrs.field(factory=dict)
 
     def set_seeds(self, seeds):
         """Replace the seeds by *seeds*, a sequence of (host, port)."""
         self.seeds = list(seeds)
 
-    def hear(self, beat, now):
+    def record(self, heartbeat, now):
         """Record another instance's announcement."""
-        voter = voters.Voter(beat.endpoint_id, beat.host, beat.port, beat.zone)
-        self.heard_by_id[voter.node_id] = Heard(voter, beat.round or 0, now)
+        voter = voters.Voter(
+            heartbeat.endpoint_id, heartbeat.host, heartbeat.port, heartbeat.zone
+        )
+        self.announcement_by_id[voter.node_id] = Announcement(
+            voter, heartbeat.round or 0, now
+        )
 
-    def show(self, members, now):
+    def record_listed(self, members, now):
         """Record the control instances among the *members* of another one."""
         for member in members:
             if member.kind == KIND and member.endpoint_id != self.own.node_id:
-                self.shown_ms_by_address[member.host, member.port] = now
+                self.listed_ms_by_address[member.host, member.port] = now
 
     def addresses(self, voting, now):
         """The sorted (host, port) of the other instances, *voting* included."""
         found = set(self.seeds) | {v.address for v in voting}
-        found |= {h.voter.address for h in self.heard(now)}
-        for address, shown_ms in list(self.shown_ms_by_address.items()):
-            if now - shown_ms > SHOWN_MS:
-                del self.shown_ms_by_address[address]
+        found |= {h.voter.address for h in self.recent(now)}
+        for address, listed_ms in list(self.listed_ms_by_address.items()):
+            if now - listed_ms > LISTED_TIMEOUT_MS:
+                del self.listed_ms_by_address[address]
             else:
                 found.add(address)
         return sorted(found - {self.own.address})
 
-    def heard(self, now):
-        """Announcements within ``voters.SHRINK_MS``; older ones are dropped."""
-        for node_id, heard in list(self.heard_by_id.items()):
-            if now - heard.at_ms > voters.SHRINK_MS:
-                del self.heard_by_id[node_id]
-        return list(self.heard_by_id.values())
+    def recent(self, now):
+        """Announcements within ``voters.REMOVAL_MS``; older ones are dropped."""
+        for node_id, announcement in list(self.announcement_by_id.items()):
+            if now - announcement.received_ms > voters.REMOVAL_MS:
+                del self.announcement_by_id[node_id]
+        return list(self.announcement_by_id.values())
 
     def silent_ms(self, node_id, now):
         """Time since the last announcement of the instance *node_id*, in ms."""
         if node_id == self.own.node_id:
             return 0
-        heard = self.heard_by_id.get(node_id)
-        return now - (heard.at_ms if heard is not None else self.started_ms)
+        announcement = self.announcement_by_id.get(node_id)
+        return now - (
+            announcement.received_ms if announcement is not None else self.started_ms
+        )
 
-    def waiting(self, committed, now):
+    def candidates(self, committed, now):
         """Candidates: live instances that do not vote and hold recent decisions."""
         voting = {v.node_id for v in committed.voters}
-        least = committed.round - voters.LAG_ROUNDS
+        least = committed.round - voters.MAX_LAG_ROUNDS
         return [
             h.voter
-            for h in self.heard(now)
+            for h in self.recent(now)
             if h.voter.node_id not in voting
-            and now - h.at_ms <= voters.UNHEARD_MS
+            and now - h.received_ms <= voters.UNRESPONSIVE_MS
             and h.round >= least
         ]
 
-    def beat(self, committed):
+    def to_heartbeat(self, committed):
         """This instance's announcement, a ``Heartbeat`` message."""
         return ttypes.Heartbeat(
             endpoint_id=self.own.node_id,
--- a/dunlinpoint/control/followers.py
+++ b/dunlinpoint/control/followers.py
@@ -13,7 +13,7 @@
 # Four long polls, so that an entry is not dropped for one delayed poll.
 ENTRY_TIMEOUT_MS = 4000
 # The interval between checks for entries that stopped polling.
-LOOK_MS = 250
+PRUNE_INTERVAL_MS = 250
 
 
 @attrs.frozen
@@ -27,7 +27,7 @@
 
 
 # The position of followers without a name, which are not entries.
-NO_ENTRY = Position(0, 0, 0, 0)
+NO_POSITION = Position(0, 0, 0, 0)
 
 
 @attrs.define
@@ -38,35 +38,37 @@
     several hundred entries, and each polls every second.
     """
 
-    asked_ms_by_entry: dict = attrs.field(factory=dict)
+    polled_ms_by_entry: dict = attrs.field(factory=dict)
     position_by_entry: dict = attrs.field(factory=dict)
-    looked_ms: int = 0
+    pruned_ms: int = 0
 
     def position_of(self, zone, name, now):
         """Record a poll of entry *name* of *zone* and return its ``Position``."""
         if not name:
-            return NO_ENTRY
-        self.asked_ms_by_entry[zone, name] = now
-        if now - self.looked_ms >= LOOK_MS:
-            self._forget(now)
+            return NO_POSITION
+        self.polled_ms_by_entry[zone, name] = now
+        if now - self.pruned_ms >= PRUNE_INTERVAL_MS:
+            self._prune(now)
         if (zone, name) not in self.position_by_entry:
-            self._arrange()
+            self._assign_positions()
         return self.position_by_entry[zone, name]
 
-    def _forget(self, now):
+    def _prune(self, now):
         """Drop entries that have not polled for ``ENTRY_TIMEOUT_MS``."""
-        self.looked_ms = now
+        self.pruned_ms = now
         silent = [
-            e for e, at in self.asked_ms_by_entry.items() if now - at > ENTRY_TIMEOUT_MS
+            e
+            for e, at in self.polled_ms_by_entry.items()
+            if now - at > ENTRY_TIMEOUT_MS
         ]
         for entry in silent:
-            del self.asked_ms_by_entry[entry]
+            del self.polled_ms_by_entry[entry]
         if silent:
             self.position_by_entry = {}
 
-    def _arrange(self):
+    def _assign_positions(self):
         """Compute the positions of all entries, per zone and overall."""
-        entries = sorted(self.asked_ms_by_entry)
+        entries = sorted(self.polled_ms_by_entry)
         sizes = collections.Counter(zone for zone, _ in entries)
         seen = collections.Counter()
         self.position_by_entry = {}
--- a/dunlinpoint/control/membership.py
+++ b/dunlinpoint/control/membership.py
@@ -8,7 +8,7 @@
 
 An endpoint may restart under the same id. Its *incarnation* (Unix ms of its
 start, 0 if it sends none) tells the starts apart: a delayed message of an
-earlier incarnation is older than any message of a later one (:func:`age`).
+earlier incarnation is older than any message of a later one (:func:`recency`).
 """
 
 import copy
@@ -23,18 +23,18 @@
 # network partition can arrive after its sender has left; without the record it would
 # register the endpoint again, and requests would go to an address that may belong to
 # another endpoint.
-LEFT_MEMORY_MS = 120_000
+DEPARTED_RETENTION_MS = 120_000
 REVISION_BITS = 40
 # Dropped ids kept for incremental updates; a follower that has missed more of them is
 # sent the complete list.
-DROPPED_KEPT = 1000
+MAX_DROPPED_IDS = 1000
 
 
 @attrs.define
 class Lease:
     """A member's last heartbeat and the end of its lease (control's clock, ms)."""
 
-    beat: ttypes.Heartbeat
+    heartbeat: ttypes.Heartbeat
     expires_ms: int
 
 
@@ -43,37 +43,47 @@
     return random.SystemRandom().getrandbits(REVISION_BITS) << 20
 
 
-def routed(beat):
+def routing_fields(heartbeat):
     """The fields of a heartbeat that routing depends on, as a tuple."""
-    place = beat.host, beat.port, beat.slots, beat.service_name
-    standing = beat.draining, beat.gone, beat.epoch, beat.broken
-    return *place, *standing, beat.incarnation or 0
+    location = heartbeat.host, heartbeat.port, heartbeat.slots, heartbeat.service_name
+    status = heartbeat.draining, heartbeat.gone, heartbeat.epoch, heartbeat.broken
+    return *location, *status, heartbeat.incarnation or 0
 
 
-def is_foreign(beat, known):
-    """Whether *beat* cannot come from the endpoint that sent *known*.
+def is_foreign(heartbeat, known):
+    """Whether *heartbeat* cannot come from the endpoint that sent *known*.
 
     An incarnation of a service's endpoint keeps its service and address. A
     heartbeat with the id of a live endpoint but another address or service would
     redirect that endpoint's requests.
     """
-    if known.gone or not known.service_name or beat.incarnation != known.incarnation:
+    if (
+        known.gone
+        or not known.service_name
+        or heartbeat.incarnation != known.incarnation
+    ):
         return False
-    return place(beat) != place(known)
+    return location(heartbeat) != location(known)
 
 
-def place(beat):
+def location(heartbeat):
     """The kind, service, zone and address of an endpoint, as a tuple."""
-    return beat.kind, beat.service_name, beat.zone, beat.host, beat.port
+    return (
+        heartbeat.kind,
+        heartbeat.service_name,
+        heartbeat.zone,
+        heartbeat.host,
+        heartbeat.port,
+    )
 
 
-def age(said):
+def recency(record):
     """A sort key for the heartbeats and member records of one endpoint.
 
     A later incarnation is newer whatever its sequence numbers are; within one
     incarnation, the record that it left is the newest.
     """
-    return said.incarnation or 0, bool(said.gone), said.sequence or 0
+    return record.incarnation or 0, bool(record.gone), record.sequence or 0
 
 
 @attrs.frozen
@@ -89,37 +99,41 @@
     """Leases by endpoint id.
 
     ``changed_by_id`` and ``dropped_by_id`` hold the revision at which a member last
-    changed or was dropped; they are complete from revision ``whole_from`` on.
+    changed or was dropped; they are complete from revision ``complete_since`` on.
     """
 
     lease_ms: int = LEASE_MS
     by_id: dict = attrs.field(factory=dict)
     revision: int = attrs.field(factory=first_revision)
-    whole_from: int = attrs.field(
+    complete_since: int = attrs.field(
         default=attrs.Factory(lambda own: own.revision, takes_self=True)
     )
     changed_by_id: dict = attrs.field(factory=dict)
     dropped_by_id: dict = attrs.field(factory=dict)
 
-    def renew(self, beat, now):
+    def renew(self, heartbeat, now):
         """Process one heartbeat; ``True`` if it changes what routing depends on.
 
         A heartbeat older than the last one, by incarnation and sequence, is
         ignored: delayed by seconds, it would undo ``draining`` or move a
         restarted endpoint back to its old address.
         """
-        lease = self.by_id.get(beat.endpoint_id)
+        lease = self.by_id.get(heartbeat.endpoint_id)
         if lease is not None:
-            if age(beat) < age(lease.beat) or is_foreign(beat, lease.beat):
+            if recency(heartbeat) < recency(lease.heartbeat) or is_foreign(
+                heartbeat, lease.heartbeat
+            ):
                 return False
-        keep_ms = LEFT_MEMORY_MS if beat.gone else self.lease_ms
-        self.by_id[beat.endpoint_id] = Lease(beat, now + keep_ms)
-        changed = lease is None or routed(lease.beat) != routed(beat)
+        keep_ms = DEPARTED_RETENTION_MS if heartbeat.gone else self.lease_ms
+        self.by_id[heartbeat.endpoint_id] = Lease(heartbeat, now + keep_ms)
+        changed = lease is None or routing_fields(lease.heartbeat) != routing_fields(
+            heartbeat
+        )
         if changed:
-            self._changed(beat.endpoint_id)
-        elif lease.beat.load != beat.load:
+            self._changed(heartbeat.endpoint_id)
+        elif lease.heartbeat.load != heartbeat.load:
             # A load figure is sent with the next change that routing depends on.
-            self.changed_by_id[beat.endpoint_id] = self.revision + 1
+            self.changed_by_id[heartbeat.endpoint_id] = self.revision + 1
         return changed
 
     def _changed(self, endpoint_id):
@@ -136,19 +150,21 @@
         """
         lease = self.by_id.get(endpoint_id)
         if lease is not None:
-            beat = copy.copy(lease.beat)
-            if incarnation is not None and incarnation != beat.incarnation:
-                if incarnation < (beat.incarnation or 0):
+            heartbeat = copy.copy(lease.heartbeat)
+            if incarnation is not None and incarnation != heartbeat.incarnation:
+                if incarnation < (heartbeat.incarnation or 0):
                     return False
-                beat.incarnation = incarnation
-                beat.gone = False
+                heartbeat.incarnation = incarnation
+                heartbeat.gone = False
         else:
-            ended = wall_ms if incarnation is None else incarnation
-            beat = ttypes.Heartbeat(endpoint_id=endpoint_id, incarnation=ended)
-        if beat.gone:
+            ended_incarnation = wall_ms if incarnation is None else incarnation
+            heartbeat = ttypes.Heartbeat(
+                endpoint_id=endpoint_id, incarnation=ended_incarnation
+            )
+        if heartbeat.gone:
             return False
-        beat.gone = True
-        self.by_id[endpoint_id] = Lease(beat, now + LEFT_MEMORY_MS)
+        heartbeat.gone = True
+        self.by_id[endpoint_id] = Lease(heartbeat, now + DEPARTED_RETENTION_MS)
         self._changed(endpoint_id)
         return True
 
@@ -162,14 +178,14 @@
             del self.by_id[endpoint_id]
             self.changed_by_id.pop(endpoint_id, None)
             self.dropped_by_id[endpoint_id] = self.revision
-        if len(self.dropped_by_id) > DROPPED_KEPT:
+        if len(self.dropped_by_id) > MAX_DROPPED_IDS:
             self.dropped_by_id.clear()
-            self.whole_from = self.revision
+            self.complete_since = self.revision
         return gone
 
     def changes_since(self, revision, now):
         """The ``Changes`` after *revision*, or ``None`` if they are not known."""
-        if not self.whole_from <= revision <= self.revision:
+        if not self.complete_since <= revision <= self.revision:
             return None
         changed = [i for i, at in self.changed_by_id.items() if at > revision]
         dropped = [i for i, at in self.dropped_by_id.items() if at > revision]
@@ -203,5 +219,5 @@
             )
             for lease in leases
             if lease.expires_ms > now
-            for b in (lease.beat,)
+            for b in (lease.heartbeat,)
         ]
--- a/dunlinpoint/control/operators.py
+++ b/dunlinpoint/control/operators.py
@@ -23,8 +23,8 @@
 from dunlinpoint.config import packed
 from dunlinpoint.control import agreement
 
-ROUNDS = 6
-PAUSE_MS = (30, 120)
+MAX_ATTEMPTS = 6
+RETRY_DELAY_MS = (30, 120)
 
 
 @attrs.define
@@ -34,7 +34,7 @@
     version: int = 0
     number: int = 0
 
-    def of(self, document):
+    def number_of(self, document):
         """The number of *document* (a ``Decision``)."""
         if document.version != self.version:
             self.version = document.version
@@ -53,13 +53,13 @@
     text = config.dump(doc)
     change_id = hashlib.sha256(text.encode()).hexdigest()[:24]
     outcome = agreement.Outcome(False, 0, "no_quorum")
-    for _ in range(ROUNDS):
+    for _ in range(MAX_ATTEMPTS):
         current = peers.local.committed
-        if numbers.of(current) >= doc.number:
+        if numbers.number_of(current) >= doc.number:
             return agreement.Outcome(True, current.version, "held")
         outcome = yield agreement.propose(peers, current.version, change_id, text)
         if outcome.accepted:
             return outcome
-        pause_ms = random.uniform(*PAUSE_MS)
-        yield task.deferLater(reactor, clock.seconds(pause_ms), lambda: None)
+        delay_ms = random.uniform(*RETRY_DELAY_MS)
+        yield task.deferLater(reactor, clock.seconds(delay_ms), lambda: None)
     return outcome
--- a/dunlinpoint/control/server.py
+++ b/dunlinpoint/control/server.py
@@ -29,7 +29,7 @@
 log = logs.logger("control")
 
 PEER_TIMEOUT_MS = 800
-EXPIRE_MS = 250
+EXPIRE_INTERVAL_MS = 250
 NO_QUORUM_RETRY_MS = 1000
 NO_FOLLOWER = ""
 
@@ -69,7 +69,7 @@
 class State:
     """A control instance: its acceptor, peers, members and counters.
 
-    ``waiting`` holds a Deferred for each long poll that waits for a change.
+    ``waiting_polls`` holds a Deferred for each long poll that waits for a change.
     """
 
     settings: Settings
@@ -79,7 +79,7 @@
     controls: discovery.Controls
     links: rpc.Links
     membership: membership.Membership
-    waiting: list = attrs.field(factory=list)
+    waiting_polls: list = attrs.field(factory=list)
     followers: followers.Followers = attrs.field(factory=followers.Followers)
     peer_revision_by_address: dict = attrs.field(factory=dict)
     suspects: registry.Registry = attrs.field(factory=registry.Registry)
@@ -110,48 +110,48 @@
             links,
             membership.Membership(lease_ms=settings.lease_ms),
         )
-        local.on_learn.append(state.changed)
+        local.on_commit.append(state.answer_polls)
         return state
 
-    def changed(self):
+    def answer_polls(self):
         """Answer all long polls that wait for a change."""
-        waiting, self.waiting = self.waiting, []
-        for waiter in waiting:
+        waiters, self.waiting_polls = self.waiting_polls, []
+        for waiter in waiters:
             if not waiter.called:
                 waiter.callback(None)
 
-    def renew(self, beat):
+    def renew(self, heartbeat):
         """Process one heartbeat of an endpoint or another control."""
         self.counters.incr("heartbeats")
         now = self.clock.now()
-        if beat.kind == discovery.KIND:
-            self.controls.hear(beat, now)
-        if self.membership.renew(beat, now):
+        if heartbeat.kind == discovery.KIND:
+            self.controls.record(heartbeat, now)
+        if self.membership.renew(heartbeat, now):
             log.info(
                 "member",
-                endpoint_id=beat.endpoint_id,
-                kind=beat.kind,
-                zone=beat.zone,
-                draining=bool(beat.draining),
-                sequence=beat.sequence,
-                incarnation=beat.incarnation,
+                endpoint_id=heartbeat.endpoint_id,
+                kind=heartbeat.kind,
+                zone=heartbeat.zone,
+                draining=bool(heartbeat.draining),
+                sequence=heartbeat.sequence,
+                incarnation=heartbeat.incarnation,
             )
-            self.changed()
+            self.answer_polls()
 
     def leave(self, endpoint_id, incarnation=None):
         """Record that an endpoint, or its *incarnation* if given, has left."""
         now, wall_ms = self.clock.now(), clock.unix_ms()
         if self.membership.leave(endpoint_id, now, incarnation, wall_ms):
             log.info("left", endpoint_id=endpoint_id, incarnation=incarnation)
-            self.changed()
+            self.answer_polls()
 
-    def wake(self, waiter):
+    def end_wait(self, waiter):
         """Answer a long poll whose ``wait_ms`` has passed."""
-        if waiter in self.waiting:
-            self.waiting.remove(waiter)
+        if waiter in self.waiting_polls:
+            self.waiting_polls.remove(waiter)
             waiter.callback(None)
 
-    def show(
+    def make_view(
         self,
         revision,
         number,
@@ -207,7 +207,7 @@
 
     def known_controls(self):
         """This and the other control instances, as ``Voter`` messages."""
-        known = [h.voter for h in self.controls.heard(self.clock.now())]
+        known = [h.voter for h in self.controls.recent(self.clock.now())]
         return [v.to_message() for v in [self.controls.own, *known]]
 
 
@@ -218,20 +218,20 @@
 
     state: State
 
-    def heartbeat(self, beat):
+    def heartbeat(self, heartbeat):
         state = self.state
-        state.renew(beat)
+        state.renew(heartbeat)
         # The document is included only if the endpoint's version is older: in
         # every reply it took 852 bytes instead of 12 with the default document,
         # and it grows with every workspace.
         committed = state.peers.local.committed
-        if beat.kind == discovery.KIND:
+        if heartbeat.kind == discovery.KIND:
             return ttypes.HeartbeatReply(state.membership.lease_ms)
         document = None
-        if beat.config_version < committed.version:
+        if heartbeat.config_version < committed.version:
             document = committed.to_message()
         controls = state.known_controls()
-        if beat.controls_known == discovery.checksum(
+        if heartbeat.controls_known == discovery.checksum(
             (v.host, v.port) for v in controls
         ):
             controls = None
@@ -250,7 +250,7 @@
         changes_only=False,
     ):
         state = self.state
-        asked = (
+        query = (
             revision,
             number,
             bodies,
@@ -259,27 +259,27 @@
             reports_known,
             changes_only,
         )
-        shown = state.show(*asked)
-        is_news = not shown.unchanged or shown.document is not None or shown.reports
-        if wait_ms and not is_news:
+        reply = state.make_view(*query)
+        has_changes = not reply.unchanged or reply.document is not None or reply.reports
+        if wait_ms and not has_changes:
             changed = defer.Deferred()
-            state.waiting.append(changed)
-            timer = state.clock.call_later(wait_ms, state.wake, changed)
+            state.waiting_polls.append(changed)
+            timer = state.clock.call_later(wait_ms, state.end_wait, changed)
             yield changed
             if timer.active():
                 timer.cancel()
-            shown = state.show(*asked)
-        return shown
+            reply = state.make_view(*query)
+        return reply
 
     def report(self, reports):
         state = self.state
         now = state.clock.now()
-        news = [
+        new_reports = [
             report for report in reports if state.suspects.apply_report(report, now)
         ]
-        state.counters.incr("crash_reports", len(news))
-        if news:
-            state.changed()
+        state.counters.incr("crash_reports", len(new_reports))
+        if new_reports:
+            state.answer_polls()
 
     @defer.inlineCallbacks
     def apply(self, expected_version, change_id, body_json):
@@ -318,10 +318,10 @@
     """Learn any newer decision of other controls."""
     local = state.peers.local
     settings = state.settings
-    yield agreement.found(state.peers, settings.own_founder, settings.founders)
+    yield agreement.check_founding(state.peers, settings.own_founder, settings.founders)
     if local.accepted is not None:
         # Its proposer may have failed between accept and learn; this instance
-        # cannot vouch for its document until the round is completed.
+        # cannot confirm its document until the round is completed.
         yield agreement.read(state.peers)
     revisions = state.peer_revision_by_address
     addresses = state.peers.everyone()
@@ -340,20 +340,20 @@
         for address in addresses
     ]
     results = yield defer.DeferredList(calls, consumeErrors=True)
-    for address, (ok, shown) in zip(addresses, results, strict=True):
+    for address, (ok, reply) in zip(addresses, results, strict=True):
         if ok:
-            take_view(state, address, shown)
-        elif not shown.check(errors.WireError):
-            log.error("catch_up_failed", error=str(shown.value))
+            merge_view(state, address, reply)
+        elif not reply.check(errors.WireError):
+            log.error("catch_up_failed", error=str(reply.value))
 
 
-def take_view(state, address, shown):
-    """Process *shown*, the ``View`` of the control at *address*."""
-    state.peer_revision_by_address[address] = shown.revision
-    state.controls.show(shown.members, state.clock.now())
-    if shown.document is None:
+def merge_view(state, address, reply):
+    """Process *reply*, the ``View`` of the control at *address*."""
+    state.peer_revision_by_address[address] = reply.revision
+    state.controls.record_listed(reply.members, state.clock.now())
+    if reply.document is None:
         return
-    if state.peers.local.take(acceptors.Decision.from_message(shown.document)):
+    if state.peers.local.commit(acceptors.Decision.from_message(reply.document)):
         state.counters.incr("caught_up")
 
 
@@ -368,10 +368,10 @@
         # failure stopped all changes.
         return
     own.own = attrs.evolve(own.own, node_id=state.peers.local.node_id)
-    beat = own.beat(state.peers.local.committed)
-    state.membership.renew(beat, state.clock.now())
+    heartbeat = own.to_heartbeat(state.peers.local.committed)
+    state.membership.renew(heartbeat, state.clock.now())
     calls = [
-        state.links.to(*address).call("heartbeat", beat)
+        state.links.to(*address).call("heartbeat", heartbeat)
         for address in state.peers.everyone()
     ]
     results = yield defer.DeferredList(calls, consumeErrors=True)
@@ -390,22 +390,22 @@
         return state.controls.silent_ms(node_id, now)
 
     voting = local.committed.voters
-    if not local.votes or not voters.is_turn(local.node_id, voting, silent_ms):
+    if not local.votes or not voters.is_proposer(local.node_id, voting, silent_ms):
         return
-    waiting = state.controls.waiting(local.committed, now)
-    following = voters.next_set(list(voting), waiting, silent_ms)
-    if following is None:
+    candidates = state.controls.candidates(local.committed, now)
+    next_voters = voters.next_set(list(voting), candidates, silent_ms)
+    if next_voters is None:
         return
-    done = yield agreement.change_voters(state.peers, following)
+    done = yield agreement.change_voters(state.peers, next_voters)
     state.counters.incr("voters_changed" if done else "voters_kept")
     log.info(
         "voters_change",
         done=done,
         round=local.committed.round,
         before=[v.node_id for v in voting],
-        after=[v.node_id for v in following],
+        after=[v.node_id for v in next_voters],
         silent_ms={v.node_id: silent_ms(v.node_id) for v in voting},
-        waiting=[v.node_id for v in waiting],
+        waiting=[v.node_id for v in candidates],
     )
 
 
@@ -415,10 +415,10 @@
     for endpoint_id in expired:
         log.info("lease_ended", endpoint_id=endpoint_id)
     if expired:
-        state.changed()
+        state.answer_polls()
 
 
-def every(reactor, interval_ms, func, *args):
+def run_every(reactor, interval_ms, func, *args):
     """Run *func* every *interval_ms* until the reactor stops.
 
     Failures are logged and do not end the loop. A plain ``LoopingCall`` stops at the
@@ -442,10 +442,10 @@
     """Start a control instance; returns its ``State``."""
     state = State.from_config(settings, reactor, counters)
     rpc.serve(reactor, Control.Processor(Handler(state)), settings.port, settings.host)
-    every(reactor, discovery.ANNOUNCE_MS, announce, state)
-    every(reactor, discovery.ANNOUNCE_MS, catch_up, state)
-    every(reactor, discovery.ANNOUNCE_MS, mend_voters, state)
-    every(reactor, EXPIRE_MS, expire, state)
+    run_every(reactor, discovery.ANNOUNCE_MS, announce, state)
+    run_every(reactor, discovery.ANNOUNCE_MS, catch_up, state)
+    run_every(reactor, discovery.ANNOUNCE_MS, mend_voters, state)
+    run_every(reactor, EXPIRE_INTERVAL_MS, expire, state)
     local = state.peers.local
     log.info(
         "started",
--- a/dunlinpoint/control/tests/cluster.py
+++ b/dunlinpoint/control/tests/cluster.py
@@ -78,13 +78,13 @@
 
     def change_voters(self, at, hosts):
         """Propose at *at* that the instances at *hosts* vote; whether it succeeded."""
-        following = [self.voter(host) for host in hosts]
-        return result(agreement.change_voters(self.peers(at), following))
+        next_voters = [self.voter(host) for host in hosts]
+        return result(agreement.change_voters(self.peers(at), next_voters))
 
     def catch_up(self, host):
         """Learn at *host* the newest decision of the instances it can reach."""
         found = result(
-            agreement.found(
+            agreement.check_founding(
                 self.peers(host),
                 next((v for v in self.founders if v.host == host), None),
                 self.founders,
@@ -92,7 +92,7 @@
         )
         for other, node in self.by_host.items():
             if not self.is_cut(host, other):
-                self.by_host[host].take(node.committed)
+                self.by_host[host].commit(node.committed)
         return found
 
 
--- a/dunlinpoint/control/tests/test_agreement.py
+++ b/dunlinpoint/control/tests/test_agreement.py
@@ -80,8 +80,8 @@
 def test_learning_never_goes_back(tmp_path):
     node = cluster.make(tmp_path).by_host["c0"]
     voting = node.committed.voters
-    assert node.take(acceptor.Decision(5, 5, "five", packed.EMPTY, voting))
-    assert not node.take(acceptor.Decision(3, 3, "three", packed.EMPTY, voting))
+    assert node.commit(acceptor.Decision(5, 5, "five", packed.EMPTY, voting))
+    assert not node.commit(acceptor.Decision(3, 3, "three", packed.EMPTY, voting))
     assert node.committed.version == 5
 
 
--- a/dunlinpoint/control/tests/test_agreement_model.py
+++ b/dunlinpoint/control/tests/test_agreement_model.py
@@ -78,7 +78,7 @@
         node = self.net.by_host[at]
         for host, other in self.net.by_host.items():
             if not self.net.is_cut(at, host):
-                node.take(other.committed)
+                node.commit(other.committed)
 
     @invariant()
     def one_decision_per_round(self):
--- a/dunlinpoint/control/tests/test_changes.py
+++ b/dunlinpoint/control/tests/test_changes.py
@@ -32,20 +32,20 @@
         return self.state.clock.now()
 
     def follower(self):
-        found = view.View.from_config(self.reactor, "z", [("h", 1)])
-        (follow,) = found.controls.update([("h", 1)], 0)
-        return found, follow
+        entry_view = view.View.from_config(self.reactor, "z", [("h", 1)])
+        (follow,) = entry_view.controls.update([("h", 1)], 0)
+        return entry_view, follow
 
     def poll(self, follower, changes_only=True):
         """Poll once for *follower*; returns the ``View`` it received."""
-        found, follow = follower
-        asked = follow.revision, DOCUMENT_KNOWN, False
-        shown = self.state.show(*asked, changes_only=changes_only)
-        found.merge(follow, shown, self.now)
-        return shown
+        entry_view, follow = follower
+        query = follow.revision, DOCUMENT_KNOWN, False
+        reply = self.state.make_view(*query, changes_only=changes_only)
+        entry_view.merge(follow, reply, self.now)
+        return reply
 
 
-def beat(endpoint_id, sequence=1, **fields):
+def heartbeat(endpoint_id, sequence=1, **fields):
     known = {"zone": "z", "host": "h", "port": 2, "kind": "service", "load": 0}
     known |= {"draining": False, "config_version": 0, "incarnation": 0}
     return ttypes.Heartbeat(
@@ -53,23 +53,23 @@
     )
 
 
-def believed(follower):
+def known_members(follower):
     """Each live member's fields in the view of *follower*."""
-    found, _ = follower
+    entry_view, _ = follower
     return {
         m.endpoint_id: (m.epoch, m.broken, m.load, m.draining)
-        for m in found.live("service")
+        for m in entry_view.live("service")
     }
 
 
-def step(control, rng, sequence):
+def apply_random_event(control, rng, sequence):
     """Apply one random event to the members of *control*."""
     endpoint_id = rng.choice(IDS)
     kind = rng.choice(["beat", "beat", "beat", "leave", "time"])
     if kind == "beat":
-        said = {"epoch": rng.randrange(3), "broken": rng.random() < 0.3}
-        said |= {"load": rng.randrange(3), "draining": rng.random() < 0.1}
-        control.state.renew(beat(endpoint_id, sequence, **said))
+        fields = {"epoch": rng.randrange(3), "broken": rng.random() < 0.3}
+        fields |= {"load": rng.randrange(3), "draining": rng.random() < 0.1}
+        control.state.renew(heartbeat(endpoint_id, sequence, **fields))
     elif kind == "leave":
         control.state.leave(endpoint_id)
     else:
@@ -77,7 +77,7 @@
         server.expire(control.state)
 
 
-def true(control):
+def actual_members(control):
     """Each live member's fields at *control* itself."""
     return {
         m.endpoint_id: (m.epoch, m.broken, m.load, m.draining)
@@ -94,60 +94,60 @@
     control = Control()
     follower = control.follower()
     for sequence in range(1, 120):
-        step(control, rng, sequence)
+        apply_random_event(control, rng, sequence)
         if rng.random() < 0.4:
             control.poll(follower)
             # A lease that expired at the follower between polls is renewed by the next.
             control.poll(follower)
             control.state.membership.revision += 1
             control.poll(follower)
-            assert believed(follower) == true(control)
+            assert known_members(follower) == actual_members(control)
 
 
 def test_a_follower_that_knows_another_life_of_the_control_is_told_all():
     # Guards against changes sent relative to the list of an earlier process.
     control = Control()
     follower = control.follower()
-    control.state.renew(beat("i-1"))
+    control.state.renew(heartbeat("i-1"))
     follower[1].revision = control.state.membership.revision + 1
-    shown = control.poll(follower)
-    assert not shown.partial and len(shown.members) == 1
+    reply = control.poll(follower)
+    assert not reply.partial and len(reply.members) == 1
 
 
 def test_a_follower_that_missed_too_much_is_told_all(monkeypatch):
     # Guards against ids of dropped members that are kept without limit.
-    monkeypatch.setattr(membership, "DROPPED_KEPT", 3)
+    monkeypatch.setattr(membership, "MAX_DROPPED_IDS", 3)
     control = Control()
     follower = control.follower()
     control.poll(follower)
     for name in IDS:
-        control.state.renew(beat(name))
+        control.state.renew(heartbeat(name))
     control.poll(follower)
     control.reactor.advance(3)
     server.expire(control.state)
     assert not control.state.membership.dropped_by_id
-    shown = control.poll(follower)
-    assert not shown.partial
-    assert believed(follower) == {}
+    reply = control.poll(follower)
+    assert not reply.partial
+    assert known_members(follower) == {}
 
 
-def size(shown):
+def size(reply):
     transport = TTransport.TMemoryBuffer()
-    shown.write(TBinaryProtocol.TBinaryProtocol(transport))
+    reply.write(TBinaryProtocol.TBinaryProtocol(transport))
     return len(transport.getvalue())
 
 
 def test_a_group_that_breaks_is_told_in_a_tenth_of_the_bytes():
     # When a group of 63 ranks breaks, each rank's next heartbeat reports it.
-    told = {}
+    sent_bytes = {}
     for changes_only in (False, True):
         control = Control()
         follower = control.follower()
         for rank in range(GROUP_SIZE):
-            control.state.renew(beat(f"rank-{rank}", epoch=1, broken=False))
+            control.state.renew(heartbeat(f"rank-{rank}", epoch=1, broken=False))
         control.poll(follower, changes_only)
-        told[changes_only] = 0
+        sent_bytes[changes_only] = 0
         for rank in range(GROUP_SIZE):
-            control.state.renew(beat(f"rank-{rank}", 2, epoch=1, broken=True))
-            told[changes_only] += size(control.poll(follower, changes_only))
-    assert told[True] < told[False] / 10
+            control.state.renew(heartbeat(f"rank-{rank}", 2, epoch=1, broken=True))
+            sent_bytes[changes_only] += size(control.poll(follower, changes_only))
+    assert sent_bytes[True] < sent_bytes[False] / 10
--- a/dunlinpoint/control/tests/test_membership.py
+++ b/dunlinpoint/control/tests/test_membership.py
@@ -4,7 +4,7 @@
 from dunlinpoint.wire.gen.dunlin import ttypes
 
 
-def beat(sequence=None, **fields):
+def heartbeat(sequence=None, **fields):
     fields = {"endpoint_id": "e1", "incarnation": 0, "host": "h", "port": 1} | fields
     return ttypes.Heartbeat(sequence=sequence, **fields)
 
@@ -17,25 +17,25 @@
 def test_a_second_heartbeat_without_a_sequence_is_taken():
     # Guards against comparing an absent sequence with a number.
     members = membership.Membership()
-    members.renew(beat(), 0)
-    assert not members.renew(beat(load=3), 10)
+    members.renew(heartbeat(), 0)
+    assert not members.renew(heartbeat(load=3), 10)
     assert only(members).load == 3
 
 
 def test_late_heartbeat_does_not_undo_draining():
     # Guards against heartbeats applied in the order of arrival.
     members = membership.Membership()
-    members.renew(beat(5, draining=True), 0)
-    assert not members.renew(beat(4, draining=False), 10)
+    members.renew(heartbeat(5, draining=True), 0)
+    assert not members.renew(heartbeat(4, draining=False), 10)
     assert only(members).draining
 
 
 def test_late_heartbeat_does_not_bring_back_what_left():
     # Guards against requests to an address that now belongs to another endpoint.
     members = membership.Membership()
-    members.renew(beat(4), 0)
+    members.renew(heartbeat(4), 0)
     members.leave("e1", 10)
-    assert not members.renew(beat(6), 20)
+    assert not members.renew(heartbeat(6), 20)
     assert only(members, 20).gone
 
 
@@ -43,34 +43,34 @@
     # As above, at a control that never received a heartbeat of the endpoint.
     members = membership.Membership()
     assert members.leave("e1", 0)
-    assert not members.renew(beat(6), 20)
+    assert not members.renew(heartbeat(6), 20)
     assert only(members, 20).gone
 
 
 def test_renewals_leave_the_revision_alone():
     members = membership.Membership()
-    members.renew(beat(1), 0)
+    members.renew(heartbeat(1), 0)
     before = members.revision
-    members.renew(beat(2, load=9), 10)
+    members.renew(heartbeat(2, load=9), 10)
     assert members.revision == before
-    members.renew(beat(3, draining=True), 20)
+    members.renew(heartbeat(3, draining=True), 20)
     assert members.revision > before
 
 
 def test_an_endpoint_that_starts_again_is_a_member_at_once():
     # Guards against ordering heartbeats by sequence alone, which restarts.
     members = membership.Membership()
-    members.renew(beat(40, incarnation=1000), 0)
-    assert members.renew(beat(1, incarnation=2000, port=2), 10)
+    members.renew(heartbeat(40, incarnation=1000), 0)
+    assert members.renew(heartbeat(1, incarnation=2000, port=2), 10)
     assert only(members).port == 2
 
 
 def test_an_endpoint_that_left_and_starts_again_is_a_member():
     # Guards against a new incarnation taken for a delayed heartbeat.
     members = membership.Membership()
-    members.renew(beat(40, incarnation=1000), 0)
+    members.renew(heartbeat(40, incarnation=1000), 0)
     members.leave("e1", 10, 1000)
-    assert members.renew(beat(1, incarnation=2000), 20)
+    assert members.renew(heartbeat(1, incarnation=2000), 20)
     assert not only(members, 20).gone
 
 
@@ -78,9 +78,9 @@
     # Guards against a running endpoint drained, moved or removed by delayed messages
     # of its earlier incarnation.
     members = membership.Membership()
-    members.renew(beat(1, incarnation=2000), 0)
-    assert not members.renew(beat(41, incarnation=1000, port=9), 10)
-    assert not members.renew(beat(42, incarnation=1000, draining=True), 10)
+    members.renew(heartbeat(1, incarnation=2000), 0)
+    assert not members.renew(heartbeat(41, incarnation=1000, port=9), 10)
+    assert not members.renew(heartbeat(42, incarnation=1000, draining=True), 10)
     assert not members.leave("e1", 10, 1000)
     member = only(members, 10)
     assert (member.port, bool(member.draining), bool(member.gone)) == (1, False, False)
@@ -91,7 +91,7 @@
     # older than every incarnation.
     members = membership.Membership()
     assert members.leave("e1", 0, wall_ms=1500)
-    assert not members.renew(beat(6, incarnation=1000), 20)
+    assert not members.renew(heartbeat(6, incarnation=1000), 20)
     assert only(members, 20).gone
-    assert members.renew(beat(1, incarnation=2000), 30)
+    assert members.renew(heartbeat(1, incarnation=2000), 30)
     assert not only(members, 30).gone
--- a/dunlinpoint/control/tests/test_recovery.py
+++ b/dunlinpoint/control/tests/test_recovery.py
@@ -193,7 +193,7 @@
         node.prepare(2, 1 << 33, node.node_id)
         assert node.accept(2, 1 << 33, moved.to_message(), node.node_id)
     for host in ("c3", "c4", "c5"):
-        net.by_host[host].take(moved)
+        net.by_host[host].commit(moved)
     net.cut("c0", "c3")
     assert net.propose("c3", 1, "second").accepted
     net.cuts = set()
@@ -201,7 +201,7 @@
     link_to = peers.link_to
 
     def hears_first(host, port):
-        net.by_host["c0"].take(moved)
+        net.by_host["c0"].commit(moved)
         return link_to(host, port)
 
     peers.link_to = hears_first
--- a/dunlinpoint/control/tests/test_reports.py
+++ b/dunlinpoint/control/tests/test_reports.py
@@ -23,8 +23,8 @@
 def poll(control, reports_known, wait_ms=800):
     """A poll of a follower that knows the members and the document."""
     _, state, handler = control
-    asked = "z", state.membership.revision, 1 << 62, wait_ms, False, ""
-    return handler.view(*asked, reports_known)
+    query = "z", state.membership.revision, 1 << 62, wait_ms, False, ""
+    return handler.view(*query, reports_known)
 
 
 def test_a_report_answers_the_polls_that_wait(control):
@@ -35,9 +35,9 @@
     reactor.advance(0.1)
     assert not waiting.called
     handler.report([REPORT])
-    shown = waiting.result
-    assert [(r.digest, r.life) for r in shown.reports] == [(REPORT.digest, "life")]
-    assert shown.reports_revision == state.suspects.revision
+    reply = waiting.result
+    assert [(r.digest, r.life) for r in reply.reports] == [(REPORT.digest, "life")]
+    assert reply.reports_revision == state.suspects.revision
 
 
 def test_what_is_known_already_answers_nobody(control):
@@ -52,13 +52,13 @@
 def test_an_entry_that_starts_is_told_all(control):
     _, _, handler = control
     handler.report([REPORT])
-    shown = poll(control, NOTHING_KNOWN).result
-    assert [r.life for r in shown.reports] == ["life"]
+    reply = poll(control, NOTHING_KNOWN).result
+    assert [r.life for r in reply.reports] == ["life"]
 
 
 def test_followers_that_want_no_reports_get_none(control):
     # Agents are followers too, on links of a few Mbit/s.
     _, _, handler = control
     handler.report([REPORT])
-    shown = poll(control, None, wait_ms=0).result
-    assert shown.reports is None and shown.reports_revision is None
+    reply = poll(control, None, wait_ms=0).result
+    assert reply.reports is None and reply.reports_revision is None
--- a/dunlinpoint/control/tests/test_voters.py
+++ b/dunlinpoint/control/tests/test_voters.py
@@ -13,61 +13,63 @@
 A, B, C, D, E = (voter(n, f"z{i}") for i, n in enumerate("abcde"))
 
 
-def following(voting, waiting, **silent_by_id):
+def next_ids(voting, waiting, **silent_by_id):
     found = voters.next_set(voting, waiting, lambda i: silent_by_id.get(i, 0))
     return found and {v.node_id for v in found}
 
 
 def test_all_is_left_as_it_is_while_everyone_is_heard():
-    assert following([A, B, C], []) is None
-    assert following([A, B, C], [D]) is None
+    assert next_ids([A, B, C], []) is None
+    assert next_ids([A, B, C], [D]) is None
 
 
 def test_an_empty_disk_takes_its_predecessors_place_at_once():
-    heir = voter("new", "z0", host="a")
-    assert following([A, B, C], [heir]) == {"new", "b", "c"}
+    replacement = voter("new", "z0", host="a")
+    assert next_ids([A, B, C], [replacement]) == {"new", "b", "c"}
 
 
 def test_an_unheard_voter_gives_its_place_to_one_that_waits():
     # Failure: after machine a was replaced by d for good, the next failure (b)
     # stops all changes, because a is still a voter.
-    assert following([A, B, C], [D], a=voters.UNHEARD_MS + 1) == {"b", "c", "d"}
-    assert following([A, B, C], [D], a=voters.UNHEARD_MS - 1) is None
+    assert next_ids([A, B, C], [D], a=voters.UNRESPONSIVE_MS + 1) == {"b", "c", "d"}
+    assert next_ids([A, B, C], [D], a=voters.UNRESPONSIVE_MS - 1) is None
 
 
 def test_an_unheard_voter_stays_where_nobody_waits():
-    assert following([A, B, C], [], a=voters.SHRINK_MS + 1) is None
+    assert next_ids([A, B, C], [], a=voters.REMOVAL_MS + 1) is None
 
 
 def test_two_that_wait_are_added_from_the_zones_with_fewest_voters():
     same = voter("same", "z0")
-    assert following([A, B, C], [same, D, E]) == {"a", "b", "c", "d", "e"}
-    assert following([A, B], [D]) == {"a", "b", "d"}
+    assert next_ids([A, B, C], [same, D, E]) == {"a", "b", "c", "d", "e"}
+    assert next_ids([A, B], [D]) == {"a", "b", "d"}
 
 
 def test_the_set_stops_growing():
     many = [voter(str(n)) for n in range(voters.MAX_VOTERS)]
-    assert following(many, [A, B, C]) is None
+    assert next_ids(many, [A, B, C]) is None
 
 
 def test_those_gone_for_good_leave_a_large_set():
-    gone = voters.SHRINK_MS + 1
-    assert following([A, B, C, D, E], [], a=gone, b=gone) == {"c", "d", "e"}
-    assert following([A, B, C, D, E], [], a=gone) is None
-    assert following([A, B, C, D], [], a=gone) == {"b", "c", "d"}
+    gone = voters.REMOVAL_MS + 1
+    assert next_ids([A, B, C, D, E], [], a=gone, b=gone) == {"c", "d", "e"}
+    assert next_ids([A, B, C, D, E], [], a=gone) is None
+    assert next_ids([A, B, C, D], [], a=gone) == {"b", "c", "d"}
 
 
 def test_one_voter_at_a_time_proposes():
     def silent_ms(node_id):
-        return voters.UNHEARD_MS + 1 if node_id == "a" else 0
+        return voters.UNRESPONSIVE_MS + 1 if node_id == "a" else 0
 
     turns = [
-        v.node_id for v in (A, B, C) if voters.is_turn(v.node_id, (A, B, C), silent_ms)
+        v.node_id
+        for v in (A, B, C)
+        if voters.is_proposer(v.node_id, (A, B, C), silent_ms)
     ]
     assert turns == ["b"]
 
 
-def beat(name, number, host=None):
+def heartbeat(name, number, host=None):
     return ttypes.Heartbeat(
         endpoint_id=name, host=host or name, port=7000, zone="z1", round=number
     )
@@ -79,27 +81,27 @@
     # then a and b are lost.
     known = discovery.Controls(voter("own"), [("a", 7000), ("b", 7000)], NOW)
     member = ttypes.Member(endpoint_id="c", kind=discovery.KIND, host="c", port=7000)
-    known.show([member], NOW)
+    known.record_listed([member], NOW)
     assert ("c", 7000) in known.addresses((), NOW)
-    later = NOW + discovery.SHOWN_MS + 1
+    later = NOW + discovery.LISTED_TIMEOUT_MS + 1
     assert ("c", 7000) not in known.addresses((), later)
-    known.hear(beat("c", 3), later)
+    known.record(heartbeat("c", 3), later)
     assert ("c", 7000) in known.addresses((), later)
     assert ("d", 7000) in known.addresses((D,), later)
 
 
 def test_only_live_ones_with_the_newest_decisions_wait_for_a_vote():
     known = discovery.Controls(A, [], NOW)
-    known.hear(beat("b", 50), NOW)
-    known.hear(beat("d", 50), NOW)
-    known.hear(beat("e", 50 - voters.LAG_ROUNDS - 1), NOW)
+    known.record(heartbeat("b", 50), NOW)
+    known.record(heartbeat("d", 50), NOW)
+    known.record(heartbeat("e", 50 - voters.MAX_LAG_ROUNDS - 1), NOW)
 
     class Committed:
         round = 50
         voters = (A, B, C)
 
-    assert [v.node_id for v in known.waiting(Committed, NOW)] == ["d"]
-    assert known.waiting(Committed, NOW + voters.UNHEARD_MS + 1) == []
+    assert [v.node_id for v in known.candidates(Committed, NOW)] == ["d"]
+    assert known.candidates(Committed, NOW + voters.UNRESPONSIVE_MS + 1) == []
     assert known.silent_ms("c", NOW + 70) == 70
     assert known.silent_ms("b", NOW + 70) == 70
     assert known.silent_ms("a", NOW + 70) == 0
--- a/dunlinpoint/control/voters.py
+++ b/dunlinpoint/control/voters.py
@@ -8,11 +8,11 @@
 
 - An instance with a new disk at a voter's address replaces that voter: the old
   one cannot return.
-- A voter that has been silent for :data:`UNHEARD_MS` is replaced by a candidate.
+- A voter that has been silent for :data:`UNRESPONSIVE_MS` is replaced by a candidate.
   It may only be partitioned; it then becomes a candidate itself.
 - Candidates are added two at a time: an even set tolerates no more failures
   than the odd set one smaller.
-- Voters silent for :data:`SHRINK_MS` without a replacement are removed as long
+- Voters silent for :data:`REMOVAL_MS` without a replacement are removed as long
   as at least :data:`MIN_VOTERS` remain.
 
 An instance that lost its disk no longer knows its promises. It draws a new
@@ -32,12 +32,12 @@
 MIN_VOTERS = 3
 # Five announcement intervals. A replacement instance is expected to be available
 # 4 s after its start, and by then the next failure must be tolerated.
-UNHEARD_MS = 2500
+UNRESPONSIVE_MS = 2500
 # Longer than a machine takes to restart, so that a restarted voter is not removed.
-SHRINK_MS = 15_000
+REMOVAL_MS = 15_000
 # Rounds that a candidate may lag: during a burst of changes several rounds are
 # decided between two announcements.
-LAG_ROUNDS = 16
+MAX_LAG_ROUNDS = 16
 
 
 @attrs.frozen
@@ -80,7 +80,7 @@
     return uuid.uuid4().hex
 
 
-def tag(node_id):
+def ballot_suffix(node_id):
     """The low 32 bits of ballots of *node_id*, which identify it (``int``)."""
     digest = hashlib.blake2b(node_id.encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big")
@@ -98,60 +98,60 @@
     return counts
 
 
-def _choose(waiting, voters):
-    """The candidate in *waiting* whose zone has the fewest *voters*."""
+def _choose(candidates, voters):
+    """The one of *candidates* whose zone has the fewest *voters*."""
     counts = _zones(voters)
-    return min(waiting, key=lambda w: (counts.get(w.zone, 0), w.node_id))
+    return min(candidates, key=lambda w: (counts.get(w.zone, 0), w.node_id))
 
 
 def _replaced(voters, old, new):
     return [new if voter == old else voter for voter in voters]
 
 
-def _grown(voters, waiting):
-    """*voters* plus one or two of *waiting* to an odd number, or ``None``."""
+def _grown(voters, candidates):
+    """*voters* plus one or two of *candidates* to an odd number, or ``None``."""
     wanted = 2 if len(voters) % 2 else 1
-    if len(waiting) < wanted or len(voters) + wanted > MAX_VOTERS:
+    if len(candidates) < wanted or len(voters) + wanted > MAX_VOTERS:
         return None
-    grown, left = list(voters), list(waiting)
+    grown, remaining = list(voters), list(candidates)
     for _ in range(wanted):
-        chosen = _choose(left, grown)
-        left.remove(chosen)
+        chosen = _choose(remaining, grown)
+        remaining.remove(chosen)
         grown.append(chosen)
     return grown
 
 
 def _shrunk(voters, silent_ms):
-    """*voters* without those silent for ``SHRINK_MS``, or ``None``."""
-    lost = [v for v in voters if silent_ms(v.node_id) > SHRINK_MS]
-    leaving = 2 if len(voters) % 2 else 1
-    if len(lost) < leaving or len(voters) - leaving < MIN_VOTERS:
+    """*voters* without those silent for ``REMOVAL_MS``, or ``None``."""
+    silent = [v for v in voters if silent_ms(v.node_id) > REMOVAL_MS]
+    removed = 2 if len(voters) % 2 else 1
+    if len(silent) < removed or len(voters) - removed < MIN_VOTERS:
         return None
-    return [v for v in voters if v not in lost[:leaving]]
+    return [v for v in voters if v not in silent[:removed]]
 
 
-def next_set(voters, waiting, silent_ms):
+def next_set(voters, candidates, silent_ms):
     """The list of voters that should replace *voters*, or ``None`` for no change.
 
-    *waiting* are the candidates: live instances that do not vote and hold recent
+    *candidates* are live instances that do not vote and hold recent
     decisions. ``silent_ms(node_id)`` is the time since a voter's last
     announcement, in ms.
     """
     for voter in voters:
-        for heir in waiting:
-            if heir.address == voter.address:
-                return _replaced(voters, voter, heir)
-    unheard = [v for v in voters if silent_ms(v.node_id) > UNHEARD_MS]
-    if unheard and waiting:
-        kept = [v for v in voters if v != unheard[0]]
-        return _replaced(voters, unheard[0], _choose(waiting, kept))
-    return _grown(voters, waiting) or _shrunk(voters, silent_ms)
+        for replacement in candidates:
+            if replacement.address == voter.address:
+                return _replaced(voters, voter, replacement)
+    silent = [v for v in voters if silent_ms(v.node_id) > UNRESPONSIVE_MS]
+    if silent and candidates:
+        others = [v for v in voters if v != silent[0]]
+        return _replaced(voters, silent[0], _choose(candidates, others))
+    return _grown(voters, candidates) or _shrunk(voters, silent_ms)
 
 
-def is_turn(own_id, voters, silent_ms):
+def is_proposer(own_id, voters, silent_ms):
     """Whether *own_id* is the instance that proposes changes of *voters*.
 
     Concurrent proposers would only invalidate each other's ballots.
     """
-    heard = [v.node_id for v in voters if silent_ms(v.node_id) <= UNHEARD_MS]
-    return bool(heard) and min(heard) == own_id
+    live_ids = [v.node_id for v in voters if silent_ms(v.node_id) <= UNRESPONSIVE_MS]
+    return bool(live_ids) and min(live_ids) == own_id
--- a/dunlinpoint/follow/__init__.py
+++ b/dunlinpoint/follow/__init__.py
@@ -3,7 +3,7 @@
 ==============  ==========================================================
 module          holds
 ==============  ==========================================================
-``controls``    the polled control instances, and what they vouch for
+``controls``    the polled control instances, and when they confirmed the document
 ``view``        members by endpoint id, and the document in force
 ==============  ==========================================================
 """
--- a/dunlinpoint/follow/controls.py
+++ b/dunlinpoint/follow/controls.py
@@ -1,4 +1,4 @@
-"""The control instances that a follower polls, and what they vouch for.
+"""The control instances that a follower polls, and when they confirmed the document.
 
 All known instances are polled, as endpoints announce themselves to any of them.
 A follower is configured with some addresses (the seeds) and learns the others
@@ -16,11 +16,11 @@
 
 CONTROL_TIMEOUT_MS = 1000
 # After this time without any answer, the seeds are polled as well.
-LOST_MS = 3000
+SEED_FALLBACK_MS = 3000
 
 
 @attrs.define(eq=False)
-class Follow:
+class FollowedControl:
     """The polling state of one control instance.
 
     *confirmed_ms* is the last time at which it held no newer document than this
@@ -34,9 +34,9 @@
     answered_ms: int | None = None
     node_id: str = ""
     zone: str | None = None
-    asks_bodies: bool = False
+    requests_bodies: bool = False
     reports_revision: int = 0
-    wanted: bool = True
+    is_active: bool = True
 
 
 @attrs.define
@@ -54,42 +54,42 @@
         return max((t for t in times if t is not None), default=None)
 
     def all(self):
-        """All ``Follow`` objects."""
+        """All ``FollowedControl`` objects."""
         return self.followed_by_address.values()
 
     def update(self, known, now):
-        """Poll the addresses *known* only; returns the new ``Follow`` objects."""
+        """Poll only the addresses *known*; returns the new ``FollowedControl`` list."""
         answered_ms = self.answered_ms()
         last_ms = self.started_ms if answered_ms is None else answered_ms
         wanted = set(known)
-        if not wanted or now - last_ms > LOST_MS:
+        if not wanted or now - last_ms > SEED_FALLBACK_MS:
             wanted |= set(self.seeds)
         for address in [a for a in self.followed_by_address if a not in wanted]:
-            follow = self.followed_by_address.pop(address)
-            follow.wanted = False
-            follow.link.close()
+            followed = self.followed_by_address.pop(address)
+            followed.is_active = False
+            followed.link.close()
         added = []
         for host, port in sorted(wanted - set(self.followed_by_address)):
             link = rpc.Link(
                 self.reactor, host, port, Control.Client, CONTROL_TIMEOUT_MS
             )
-            follow = self.followed_by_address[host, port] = Follow(link)
-            added.append(follow)
+            followed = self.followed_by_address[host, port] = FollowedControl(link)
+            added.append(followed)
         return added
 
     def confirmed_ms(self, voting):
         """The last time a majority of *voting* held no newer document, or ``None``.
 
         An instance that answers at a voter's address under another id started with
-        an empty disk and cannot vouch for what that voter may have accepted.
+        an empty disk and does not hold what that voter may have accepted.
         """
         times = []
         for voter in voting:
-            follow = self.followed_by_address.get(voter.address)
-            if follow is None or follow.node_id != voter.node_id:
+            followed = self.followed_by_address.get(voter.address)
+            if followed is None or followed.node_id != voter.node_id:
                 continue
-            if follow.confirmed_ms is not None:
-                times.append(follow.confirmed_ms)
+            if followed.confirmed_ms is not None:
+                times.append(followed.confirmed_ms)
         needed = voters.majority(voting)
         if not voting or len(times) < needed:
             return None
--- a/dunlinpoint/follow/tests/test_view.py
+++ b/dunlinpoint/follow/tests/test_view.py
@@ -1,4 +1,4 @@
-"""A follower's view of its controls: documents, voters, members, vouching."""
+"""A follower's view of its controls: documents, voters, members, confirmation."""
 
 from twisted.internet import task
 
@@ -13,12 +13,12 @@
 def follower():
     clock = task.Clock()
     clock.advance(100)
-    found = view.View.from_config(clock, "z1", [("a", 7000)])
-    follows = found.controls.update([v.address for v in VOTERS], 0)
-    return clock, found, {f.link.host: f for f in follows if f.link.host != "seed"}
+    entry_view = view.View.from_config(clock, "z1", [("a", 7000)])
+    follows = entry_view.controls.update([v.address for v in VOTERS], 0)
+    return clock, entry_view, {f.link.host: f for f in follows if f.link.host != "seed"}
 
 
-def shown(name, document=None, settled=True, node_id=None):
+def reply_from(name, document=None, settled=True, node_id=None):
     return ttypes.View(
         members=[],
         document=document,
@@ -38,50 +38,50 @@
 
 
 def test_a_majority_of_voters_must_vouch():
-    _, found, by_name = follower()
-    assert found.confirmed_ms is None
-    found.merge(by_name["a"], shown("a", document(1)), 10)
-    assert found.confirmed_ms is None
-    found.merge(by_name["b"], shown("b"), 30)
-    assert found.confirmed_ms == 10
-    found.merge(by_name["c"], shown("c", settled=False), 50)
-    assert found.confirmed_ms == 10
+    _, entry_view, by_name = follower()
+    assert entry_view.confirmed_ms is None
+    entry_view.merge(by_name["a"], reply_from("a", document(1)), 10)
+    assert entry_view.confirmed_ms is None
+    entry_view.merge(by_name["b"], reply_from("b"), 30)
+    assert entry_view.confirmed_ms == 10
+    entry_view.merge(by_name["c"], reply_from("c", settled=False), 50)
+    assert entry_view.confirmed_ms == 10
 
 
 def test_an_empty_successor_does_not_vouch_for_the_voter_it_was():
     # Counting answers by address instead of voter id would accept a revoked key.
-    _, found, by_name = follower()
-    found.merge(by_name["a"], shown("a", document(1)), 10)
-    found.merge(by_name["b"], shown("b", node_id="new"), 30)
-    assert found.confirmed_ms is None
+    _, entry_view, by_name = follower()
+    entry_view.merge(by_name["a"], reply_from("a", document(1)), 10)
+    entry_view.merge(by_name["b"], reply_from("b", node_id="new"), 30)
+    assert entry_view.confirmed_ms is None
 
 
 def test_what_is_known_to_be_old_is_not_vouched_for():
-    # Guards against an answer that announces a newer document and still vouches for
-    # the current one.
-    _, found, by_name = follower()
-    found.merge(by_name["a"], shown("a", document(1)), 10)
-    found.merge(by_name["b"], shown("b", document(2, body=None)), 30)
-    assert found.confirmed_ms is None
-    assert by_name["b"].asks_bodies
+    # Guards against an answer that announces a newer document and still confirms the
+    # current one.
+    _, entry_view, by_name = follower()
+    entry_view.merge(by_name["a"], reply_from("a", document(1)), 10)
+    entry_view.merge(by_name["b"], reply_from("b", document(2, body=None)), 30)
+    assert entry_view.confirmed_ms is None
+    assert by_name["b"].requests_bodies
 
 
 def test_a_change_of_voters_is_followed_without_a_new_document():
-    _, found, by_name = follower()
-    heard = []
-    found.on_document.append(heard.append)
-    found.merge(by_name["a"], shown("a", document(1)), 10)
+    _, entry_view, by_name = follower()
+    applied = []
+    entry_view.on_document.append(applied.append)
+    entry_view.merge(by_name["a"], reply_from("a", document(1)), 10)
     changed = [*VOTERS[:2], voters.Voter("d", "d", 7000, "z1")]
-    found.merge(by_name["a"], shown("a", document(2, voting=changed)), 20)
-    assert [v.node_id for v in found.voting] == ["a", "b", "d"]
-    assert len(heard) == 1
+    entry_view.merge(by_name["a"], reply_from("a", document(2, voting=changed)), 20)
+    assert [v.node_id for v in entry_view.voting] == ["a", "b", "d"]
+    assert len(applied) == 1
 
 
 def test_an_older_round_changes_nothing():
-    _, found, by_name = follower()
-    found.merge(by_name["a"], shown("a", document(5, version=4)), 10)
-    found.merge(by_name["b"], shown("b", document(3, version=2)), 10)
-    assert found.document.version == 4
+    _, entry_view, by_name = follower()
+    entry_view.merge(by_name["a"], reply_from("a", document(5, version=4)), 10)
+    entry_view.merge(by_name["b"], reply_from("b", document(3, version=2)), 10)
+    assert entry_view.document.version == 4
 
 
 def test_seeds_are_asked_again_when_nobody_answers():
@@ -92,52 +92,52 @@
     known.update([("a", 7000)], 10)
     assert set(known.followed_by_address) == {("a", 7000)}
     known.followed_by_address["a", 7000].answered_ms = 20
-    known.update([("a", 7000)], 20 + controls.LOST_MS + 1)
+    known.update([("a", 7000)], 20 + controls.SEED_FALLBACK_MS + 1)
     assert set(known.followed_by_address) == {("a", 7000), ("seed", 7000)}
 
 
 def test_a_list_that_says_nothing_new_changes_nothing():
     # Guards against sorting all endpoints again whenever a lease is renewed.
-    _, found, by_name = follower()
+    _, entry_view, by_name = follower()
 
     def listed(lease_left_ms, **changed):
         fields = {"endpoint_id": "e", "host": "h", "port": 1, "kind": "service"}
         member = ttypes.Member(lease_left_ms=lease_left_ms, **(fields | changed))
-        answer = shown("a")
-        answer.members = [member]
-        return answer
-
-    found.merge(by_name["a"], listed(900), 10)
-    known = found.generation
-    found.merge(by_name["a"], listed(800), 20)
-    assert found.generation == known
+        reply = reply_from("a")
+        reply.members = [member]
+        return reply
+
+    entry_view.merge(by_name["a"], listed(900), 10)
+    known = entry_view.generation
+    entry_view.merge(by_name["a"], listed(800), 20)
+    assert entry_view.generation == known
     for changed in ({"draining": True}, {"load": 3}, {"broken": True}, {"port": 2}):
-        found.merge(by_name["a"], listed(700, **changed), 30)
-        assert found.generation > known
-        known = found.generation
+        entry_view.merge(by_name["a"], listed(700, **changed), 30)
+        assert entry_view.generation > known
+        known = entry_view.generation
 
 
 def test_members_dropped_in_a_cut_are_listed_again():
     # Guards against members that stay missing because the list of the control that
-    # vouches for them is unchanged since they were dropped here.
-    clock, found, by_name = follower()
-    listed = shown("a")
+    # holds their leases is unchanged since they were dropped here.
+    clock, entry_view, by_name = follower()
+    listed = reply_from("a")
     listed.members = [
         ttypes.Member(
             endpoint_id="e", host="h", port=1, kind="service", lease_left_ms=900
         )
     ]
-    found.merge(by_name["a"], listed, 10)
-    assert [m.endpoint_id for m in found.live("service")] == ["e"]
+    entry_view.merge(by_name["a"], listed, 10)
+    assert [m.endpoint_id for m in entry_view.live("service")] == ["e"]
     clock.advance(5)
-    found.merge(by_name["b"], shown("b"), 5_000)
-    assert found.live("service") == []
-    as_it_was = shown("a")
-    as_it_was.unchanged = True
-    found.merge(by_name["a"], as_it_was, 5_010)
+    entry_view.merge(by_name["b"], reply_from("b"), 5_000)
+    assert entry_view.live("service") == []
+    unchanged = reply_from("a")
+    unchanged.unchanged = True
+    entry_view.merge(by_name["a"], unchanged, 5_010)
     assert by_name["a"].revision == view.NO_REVISION
-    found.merge(by_name["a"], listed, 5_060)
-    assert [m.endpoint_id for m in found.live("service")] == ["e"]
+    entry_view.merge(by_name["a"], listed, 5_060)
+    assert [m.endpoint_id for m in entry_view.live("service")] == ["e"]
 
 
 def test_controls_that_know_different_lives_of_an_endpoint():
@@ -145,48 +145,48 @@
     # with each incarnation.
     def listed(name, **fields):
         base = {"endpoint_id": "e", "host": "h", "port": 1, "kind": "service"}
-        answer = shown(name)
-        answer.members = [ttypes.Member(lease_left_ms=900, **(base | fields))]
-        return answer
+        reply = reply_from(name)
+        reply.members = [ttypes.Member(lease_left_ms=900, **(base | fields))]
+        return reply
 
     restarted = {"incarnation": 2000, "sequence": 1, "port": 2}
     for earlier in ({"gone": True}, {"draining": True}, {}):
         earlier = {"incarnation": 1000, "sequence": 40} | earlier
         for first, second in ((earlier, restarted), (restarted, earlier)):
-            _, found, by_name = follower()
-            found.merge(by_name["a"], listed("a", **first), 10)
-            found.merge(by_name["b"], listed("b", **second), 20)
-            (member,) = found.live("service")
+            _, entry_view, by_name = follower()
+            entry_view.merge(by_name["a"], listed("a", **first), 10)
+            entry_view.merge(by_name["b"], listed("b", **second), 20)
+            (member,) = entry_view.live("service")
             assert member.port == 2
 
 
 def test_a_follower_on_a_narrow_link_takes_documents_at_its_own_rhythm():
     # Guards against a group leader's link saturated by documents it hardly needs.
-    clock, found, by_name = follower()
-    found.min_body_interval_ms = 2000
-    found.merge(by_name["a"], shown("a", document(1)), 10)
-    assert found.document.round == 1
-    found.merge(by_name["a"], shown("a", document(2, 2, body=None)), 20)
-    assert not by_name["a"].asks_bodies
+    clock, entry_view, by_name = follower()
+    entry_view.min_body_interval_ms = 2000
+    entry_view.merge(by_name["a"], reply_from("a", document(1)), 10)
+    assert entry_view.document.round == 1
+    entry_view.merge(by_name["a"], reply_from("a", document(2, 2, body=None)), 20)
+    assert not by_name["a"].requests_bodies
     clock.advance(2)
-    found.merge(by_name["a"], shown("a", document(3, 3, body=None)), 2030)
-    assert by_name["a"].asks_bodies
-    found.merge(by_name["a"], shown("a", document(3, 3)), 2040)
-    assert found.document.round == 3
+    entry_view.merge(by_name["a"], reply_from("a", document(3, 3, body=None)), 2030)
+    assert by_name["a"].requests_bodies
+    entry_view.merge(by_name["a"], reply_from("a", document(3, 3)), 2040)
+    assert entry_view.document.round == 3
 
 
 def test_a_control_that_knows_few_entries_does_not_make_them_fewer():
     # Guards against entries that each use a whole rate limit after controls restarted.
-    clock, found, by_name = follower()
+    clock, entry_view, by_name = follower()
 
     def count(name, entry, entries):
-        answer = shown(name)
-        answer.entry, answer.entries = entry, entries
-        found.merge(by_name[name], answer, 10)
-        return found.entry_index, found.entry_count
+        reply = reply_from(name)
+        reply.entry, reply.entries = entry, entries
+        entry_view.merge(by_name[name], reply, 10)
+        return entry_view.entry_index, entry_view.entry_count
 
     assert count("a", 4, 6) == (4, 6)
     assert count("b", 0, 1) == (4, 6)
     assert count("b", 5, 7) == (5, 7)
-    clock.advance(view.FEWER_ENTRIES_MS / 1000 + 1)
+    clock.advance(view.ENTRY_COUNT_HOLD_MS / 1000 + 1)
     assert count("a", 2, 3) == (2, 3)
--- a/dunlinpoint/follow/view.py
+++ b/dunlinpoint/follow/view.py
@@ -3,7 +3,7 @@
 It long-polls every control instance: each answers at once if it knows something
 that the follower does not, and otherwise after ``wait_ms``.
 
-- A member is live while some control vouches for its lease. If no control has
+- A member is live while some control lists it with a valid lease. If no control has
   answered for a whole lease, the follower itself is partitioned: it keeps the
   last known members, and requests to them show which ones can be reached.
 - The document is that of the highest round received from any control, so an
@@ -34,36 +34,36 @@
 WAIT_MS = 800
 # The interval between polls of one control, so that frequent changes are received
 # in batches.
-PAUSE_MS = 50
+POLL_INTERVAL_MS = 50
 RETRY_MS = 300
 # The revision of no list: a control polled with it returns all members.
 NO_REVISION = 0
 # The interval between checks for expired leases.
-FORGET_MS = 50
+EXPIRE_INTERVAL_MS = 50
 # The interval between updates of the set of polled controls.
-FOLLOW_MS = 250
+CONTROLS_UPDATE_MS = 250
 # The poll interval of a follower that was notified of a newer document but delays
 # fetching it: the next poll would be answered at once with the same notification.
-HINTED_PAUSE_MS = 300
+DELAYED_BODY_POLL_MS = 300
 # How long an entry waits for a new document from its own zone's control before it
 # requests it from another zone's.
-OTHER_ZONE_PAUSE_MS = 120
+OTHER_ZONE_POLL_MS = 120
 # The number of entries is reduced only after no control has reported as many for
 # this time: controls drop an entry 4 s after its last poll.
-FEWER_ENTRIES_MS = 5000
+ENTRY_COUNT_HOLD_MS = 5000
 
 
 @attrs.define
-class Seen:
-    """A member as last received, and until when a control vouches for it."""
+class KnownMember:
+    """A member as last received, and the end of its longest lease at any control."""
 
     member: ttypes.Member
     expires_ms: int
 
 
-def shape(member):
+def selection_fields(member):
     """The fields of a member that the choice among members depends on."""
-    return *membership.routed(member), member.load, member.group, member.engine
+    return *membership.routing_fields(member), member.load, member.group, member.engine
 
 
 @attrs.define
@@ -90,16 +90,16 @@
     wants_reports: bool = False
     wait_ms: int = WAIT_MS
     min_body_interval_ms: int = 0
-    body_ms: int | None = None
+    body_received_ms: int | None = None
     lease_ms: int = 0
     follower: str = ""
     zone_index: int = 0
     zone_entries: int = 1
     entry_index: int = 0
     entry_count: int = 1
-    entries_ms: int = 0
+    entry_count_ms: int = 0
     generation: int = 0
-    forgot_ms: int = 0
+    last_expiry_ms: int = 0
     live_by_kind: dict = attrs.field(factory=dict)
 
     @classmethod
@@ -110,62 +110,64 @@
             ms_clock, zone, controls.Controls(reactor, list(seeds), ms_clock.now())
         )
 
-    def merge(self, follow, shown, asked_ms):
-        """Merge *shown*, a control's ``View`` that was requested at *asked_ms*."""
-        self._merge(follow, shown, asked_ms)
-        for hear in self.on_change:
-            hear()
+    def merge(self, followed, reply, requested_ms):
+        """Merge *reply*, a control's ``View`` that was requested at *requested_ms*."""
+        self._merge(followed, reply, requested_ms)
+        for callback in self.on_change:
+            callback()
 
-    def _merge(self, follow, shown, asked_ms):
+    def _merge(self, followed, reply, requested_ms):
         now = self.clock.now()
-        self.lease_ms = shown.lease_ms
-        follow.answered_ms = now
-        follow.zone = shown.zone
-        follow.node_id = shown.node_id
-        if shown.places and (shown.zone == self.zone or self.zone_entries == 1):
-            self.zone_index, self.zone_entries = shown.place, shown.places
-        self._count_entries(shown, now)
-        if shown.unchanged:
-            self._renew(follow, now + shown.lease_ms)
+        self.lease_ms = reply.lease_ms
+        followed.answered_ms = now
+        followed.zone = reply.zone
+        followed.node_id = reply.node_id
+        if reply.places and (reply.zone == self.zone or self.zone_entries == 1):
+            self.zone_index, self.zone_entries = reply.place, reply.places
+        self._count_entries(reply, now)
+        if reply.unchanged:
+            self._extend_leases(followed, now + reply.lease_ms)
         else:
-            follow.revision = shown.revision
-            if shown.partial:
-                if shown.dropped:
-                    self._drop(follow, shown.dropped, now)
-                self._renew(follow, now + shown.lease_ms)
+            followed.revision = reply.revision
+            if reply.partial:
+                if reply.dropped:
+                    self._drop(followed, reply.dropped, now)
+                self._extend_leases(followed, now + reply.lease_ms)
             else:
-                follow.member_ids.clear()
-            for member in shown.members:
-                follow.member_ids.add(member.endpoint_id)
-                self._take(member, now + member.lease_left_ms)
-        if shown.reports_revision is not None:
-            follow.reports_revision = shown.reports_revision
-        if shown.reports:
-            for hear in self.on_reports:
-                hear(shown.reports)
-        document = shown.document
+                followed.member_ids.clear()
+            for member in reply.members:
+                followed.member_ids.add(member.endpoint_id)
+                self._update_member(member, now + member.lease_left_ms)
+        if reply.reports_revision is not None:
+            followed.reports_revision = reply.reports_revision
+        if reply.reports:
+            for callback in self.on_reports:
+                callback(reply.reports)
+        document = reply.document
         if document is None or document.round <= self.document.round:
-            follow.asks_bodies = follow.zone == self.zone
+            followed.requests_bodies = followed.zone == self.zone
         elif document.body is None:
             # This control holds a newer document than the one in force here, so
             # ``confirmed_ms`` must not advance.
-            follow.asks_bodies = self.wants_body()
+            followed.requests_bodies = self.wants_body()
             return
         else:
-            self.body_ms = now
-            self._enforce(document)
-        if shown.settled:
-            follow.confirmed_ms = asked_ms
+            self.body_received_ms = now
+            self._apply_document(document)
+        if reply.settled:
+            followed.confirmed_ms = requested_ms
 
-    def _count_entries(self, shown, now):
+    def _count_entries(self, reply, now):
         """Update this entry's position among the entries of all zones.
 
         A control that has just started, or is partitioned, knows too few of them.
         """
-        fewer = (shown.entries or 0) < self.entry_count
-        if shown.entries and (not fewer or now - self.entries_ms > FEWER_ENTRIES_MS):
-            self.entry_index, self.entry_count = shown.entry, shown.entries
-            self.entries_ms = now
+        fewer = (reply.entries or 0) < self.entry_count
+        if reply.entries and (
+            not fewer or now - self.entry_count_ms > ENTRY_COUNT_HOLD_MS
+        ):
+            self.entry_index, self.entry_count = reply.entry, reply.entries
+            self.entry_count_ms = now
 
     def wants_body(self):
         """Whether to fetch the body of a newer document now.
@@ -175,36 +177,36 @@
         saturated, and its map switch took 2.8 s. ``min_body_interval_ms`` limits the
         rate for followers that need little of the document.
         """
-        if self.body_ms is None:
+        if self.body_received_ms is None:
             return True
-        return self.clock.now() - self.body_ms >= self.min_body_interval_ms
+        return self.clock.now() - self.body_received_ms >= self.min_body_interval_ms
 
-    def _drop(self, follow, endpoint_ids, now):
-        """Expire members dropped by *follow* that no other control has listed."""
-        follow.member_ids.difference_update(endpoint_ids)
+    def _drop(self, followed, endpoint_ids, now):
+        """Expire members dropped by *followed* that no other control has listed."""
+        followed.member_ids.difference_update(endpoint_ids)
         listed = set().union(*(f.member_ids for f in self.controls.all()))
         for endpoint_id in set(endpoint_ids) - listed:
-            seen = self.by_id.get(endpoint_id)
-            if seen is not None:
-                seen.expires_ms = min(seen.expires_ms, now)
+            known = self.by_id.get(endpoint_id)
+            if known is not None:
+                known.expires_ms = min(known.expires_ms, now)
 
-    def _renew(self, follow, expires_ms):
-        """Extend the leases of all members that *follow* has listed and not dropped.
+    def _extend_leases(self, followed, expires_ms):
+        """Extend the leases of all members that *followed* has listed and not dropped.
 
         If some were dropped here meanwhile, the complete list is requested again.
         After a partition, the first control to answer causes members to be dropped
-        that only other controls vouch for. When one of those then answered that its
-        list was unchanged, the members stayed missing, and an entry had no endpoint
-        until the next change (17 s).
+        that only other controls list. When one of those then answered that its list
+        was unchanged, the members stayed missing, and an entry had no endpoint until
+        the next change (17 s).
         """
-        for endpoint_id in follow.member_ids:
-            seen = self.by_id.get(endpoint_id)
-            if seen is not None:
-                seen.expires_ms = expires_ms
+        for endpoint_id in followed.member_ids:
+            known = self.by_id.get(endpoint_id)
+            if known is not None:
+                known.expires_ms = expires_ms
             else:
-                follow.revision = NO_REVISION
+                followed.revision = NO_REVISION
 
-    def _enforce(self, document):
+    def _apply_document(self, document):
         """Put a newer *document* in force, with its voters."""
         changed = document.version != self.document.version
         self.document = document
@@ -212,22 +214,22 @@
         if not changed:
             return
         log.info("document_in_force", version=document.version, round=document.round)
-        for hear in self.on_document:
-            hear(document)
+        for callback in self.on_document:
+            callback(document)
 
-    def _take(self, member, expires_ms):
-        seen = self.by_id.get(member.endpoint_id)
-        if seen is None:
-            self.by_id[member.endpoint_id] = Seen(member, expires_ms)
+    def _update_member(self, member, expires_ms):
+        known = self.by_id.get(member.endpoint_id)
+        if known is None:
+            self.by_id[member.endpoint_id] = KnownMember(member, expires_ms)
             self._changed()
-        elif membership.age(member) >= membership.age(seen.member):
-            if shape(member) != shape(seen.member):
+        elif membership.recency(member) >= membership.recency(known.member):
+            if selection_fields(member) != selection_fields(known.member):
                 self._changed()
-            seen.member = member
-            seen.expires_ms = max(seen.expires_ms, expires_ms)
+            known.member = member
+            known.expires_ms = max(known.expires_ms, expires_ms)
 
-    def _forget(self, now):
-        """Drop members that no control vouches for, unless no control answers."""
+    def _drop_expired(self, now):
+        """Drop members without a valid lease, unless no control answers."""
         answered_ms = self.controls.answered_ms()
         if answered_ms is None or answered_ms < now - self.lease_ms:
             return
@@ -242,17 +244,17 @@
     def live(self, kind):
         """Members of *kind* that accept new requests (not draining, not gone)."""
         now = self.clock.now()
-        if now - self.forgot_ms >= FORGET_MS:
-            self.forgot_ms = now
-            self._forget(now)
+        if now - self.last_expiry_ms >= EXPIRE_INTERVAL_MS:
+            self.last_expiry_ms = now
+            self._drop_expired(now)
         live = self.live_by_kind.get(kind)
         if live is None:
             live = self.live_by_kind[kind] = [
-                seen.member
-                for seen in self.by_id.values()
-                if not seen.member.draining
-                and not seen.member.gone
-                and seen.member.kind == kind
+                known.member
+                for known in self.by_id.values()
+                if not known.member.draining
+                and not known.member.gone
+                and known.member.kind == kind
             ]
         return live
 
@@ -262,7 +264,7 @@
 
     def endpoints(self):
         """All known members that are endpoints."""
-        members = [seen.member for seen in self.by_id.values()]
+        members = [known.member for known in self.by_id.values()]
         return [m for m in members if m.kind != discovery.KIND]
 
     @property
@@ -271,54 +273,54 @@
         return self.controls.confirmed_ms(self.voting)
 
     @defer.inlineCallbacks
-    def poll(self, follow):
+    def poll(self, followed):
         """Poll one control; a Deferred of the delay before its next poll, in ms."""
-        asked_ms = self.clock.now()
-        follow.asks_bodies = follow.asks_bodies and self.wants_body()
+        requested_ms = self.clock.now()
+        followed.requests_bodies = followed.requests_bodies and self.wants_body()
         try:
-            shown = yield follow.link.call(
+            reply = yield followed.link.call(
                 "view",
                 self.zone,
-                follow.revision,
+                followed.revision,
                 self.document.round,
                 self.wait_ms,
-                follow.asks_bodies,
+                followed.requests_bodies,
                 self.follower,
-                follow.reports_revision if self.wants_reports else None,
+                followed.reports_revision if self.wants_reports else None,
                 True,
                 timeout_ms=self.wait_ms + controls.CONTROL_TIMEOUT_MS,
             )
         except errors.WireError:
             # A connection can stop delivering answers without being reset. The
             # next poll opens a new one, which shows whether the control is up.
-            follow.link.close()
+            followed.link.close()
             return RETRY_MS
         # An answer without changes is valid as of its arrival, an immediate one as
         # of the request. The time of the request holds in both cases.
-        self.merge(follow, shown, asked_ms)
-        hinted = shown.document is not None and shown.document.body is None
-        if not hinted:
-            return PAUSE_MS
-        return OTHER_ZONE_PAUSE_MS if self.wants_body() else HINTED_PAUSE_MS
+        self.merge(followed, reply, requested_ms)
+        body_omitted = reply.document is not None and reply.document.body is None
+        if not body_omitted:
+            return POLL_INTERVAL_MS
+        return OTHER_ZONE_POLL_MS if self.wants_body() else DELAYED_BODY_POLL_MS
 
     def follow(self, reactor):
         """Poll every known control until the reactor stops."""
         known = {v.address for v in self.voting}
         known |= {(m.host, m.port) for m in self.live(discovery.KIND)}
-        for follow in self.controls.update(known, self.clock.now()):
-            self._next(follow, 0)
-        self.clock.call_later(FOLLOW_MS, self.follow, reactor)
+        for followed in self.controls.update(known, self.clock.now()):
+            self._schedule_poll(followed, 0)
+        self.clock.call_later(CONTROLS_UPDATE_MS, self.follow, reactor)
 
-    def _next(self, follow, pause_ms):
-        def again(pause_ms):
-            self._next(follow, pause_ms)
+    def _schedule_poll(self, followed, pause_ms):
+        def poll_again(pause_ms):
+            self._schedule_poll(followed, pause_ms)
 
         def run():
-            if follow.wanted:
-                self.poll(follow).addCallbacks(again, failed)
+            if followed.is_active:
+                self.poll(followed).addCallbacks(poll_again, failed)
 
         def failed(failure):
             log.error("view_failed", error=failure.getErrorMessage())
-            self._next(follow, RETRY_MS)
+            self._schedule_poll(followed, RETRY_MS)
 
         self.clock.call_later(pause_ms, run)
--- a/dunlinpoint/wire/rpc.py
+++ b/dunlinpoint/wire/rpc.py
@@ -43,7 +43,7 @@
         self.timeout_ms = timeout_ms
         self._protocol = None
         self._connecting = None
-        self._answers = 0
+        self._answer_count = 0
 
     @property
     def address(self):
@@ -82,7 +82,7 @@
             clock.seconds(timeout_ms),
             self._time_out,
             outer,
-            self._answers,
+            self._answer_count,
             errors.OutcomeUnknown(
                 f"{self.address}: {method} timed out after {timeout_ms} ms"
             ),
@@ -96,7 +96,7 @@
             return getattr(client, method)(*args)
 
         def done(result):
-            self._answers += 1
+            self._answer_count += 1
             if timer.active():
                 timer.cancel()
             if not outer.called:
@@ -138,12 +138,12 @@
         connections are read. It took 70 ranks for unresponsive although their
         answers had arrived, and called each of their engines instead.
         """
-        self.reactor.callLater(0, self._give_up, outer, answers_before, exc)
+        self.reactor.callLater(0, self._fail_unanswered, outer, answers_before, exc)
 
-    def _give_up(self, outer, answers_before, exc):
+    def _fail_unanswered(self, outer, answers_before, exc):
         if outer.called:
             return
-        if self._answers == answers_before:
+        if self._answer_count == answers_before:
             # A connection can stop delivering data without being reset while a new
             # one to the same peer works: if it were kept, the peer would stay
             # unreachable until one of the processes restarts.
--- a/dunlinpoint/wire/tests/test_rpc.py
+++ b/dunlinpoint/wire/tests/test_rpc.py
@@ -47,7 +47,7 @@
     # one's engine, and a map switch takes 2.8 s. The process is busy for longer than
     # the timeout while answers arrive; then timers run before connections are read,
     # so a call that fails directly in its timer ignores an answer that has arrived.
-    reactor, answer, heard = Reactor(), defer.Deferred(), []
+    reactor, answer, results = Reactor(), defer.Deferred(), []
     link = rpc.Link(reactor, "127.0.0.1", 1, None, 250)
 
     class Client:
@@ -55,15 +55,15 @@
             return answer
 
     link._connect = lambda: defer.succeed(Client())
-    link.call("load").addBoth(heard.append)
+    link.call("load").addBoth(results.append)
     reactor.run_due()
     answer.callback("read after the timer")
     reactor.run_due()
-    assert heard == ["read after the timer"]
+    assert results == ["read after the timer"]
 
 
 def test_an_answer_that_never_comes_is_given_up_on():
-    reactor, heard = Reactor(), []
+    reactor, results = Reactor(), []
     link = rpc.Link(reactor, "127.0.0.1", 1, None, 250)
 
     class Client:
@@ -71,7 +71,7 @@
             return defer.Deferred()
 
     link._connect = lambda: defer.succeed(Client())
-    link.call("load").addBoth(heard.append)
+    link.call("load").addBoth(results.append)
     reactor.run_due()
     reactor.run_due()
-    assert heard[0].check(errors.OutcomeUnknown)
+    assert results[0].check(errors.OutcomeUnknown)
