--- a/dunlinpoint/config/tests/test_document.py
+++ b/dunlinpoint/config/tests/test_document.py
@@ -71,7 +71,7 @@
     )
 
 
-def test_what_ranks_need_is_what_the_whole_document_says():
+def test_parse_for_ranks_matches_the_full_document():
     text = large_document(10)
     doc = config.parse(text)
     assert config.parse_for_ranks(text, "model") == (doc.services[0].experts, 100)
@@ -79,7 +79,7 @@
     assert config.parse_for_ranks(text, "unknown") == (None, 0)
 
 
-def test_what_ranks_need_of_a_large_document_is_read_quickly():
+def test_parse_for_ranks_is_fast_on_a_large_document():
     # With 1,400 routes that change every 0.3 s, a group leader that has a third of a
     # core is overloaded by parsing the whole document, which takes 3.4 times as long.
     text = large_document(1400)
--- a/dunlinpoint/control/tests/test_agreement.py
+++ b/dunlinpoint/control/tests/test_agreement.py
@@ -17,7 +17,7 @@
     assert versions(net) == [1, 1, 1]
 
 
-def test_racing_operators_on_one_version_get_one_winner(tmp_path):
+def test_one_of_two_concurrent_changes_of_a_version_wins(tmp_path):
     # Failure: two operators, both changing version 0 at different control
     # instances, have different documents accepted as version 1, because the
     # compare-and-set is checked only locally.
@@ -77,7 +77,7 @@
     assert reloaded.version_of("c1") == 1
 
 
-def test_learning_never_goes_back(tmp_path):
+def test_an_older_decision_is_not_committed(tmp_path):
     node = cluster.make(tmp_path).by_host["c0"]
     voting = node.committed.voters
     assert node.commit(acceptor.Decision(5, 5, "five", packed.EMPTY, voting))
@@ -85,7 +85,7 @@
     assert node.committed.version == 5
 
 
-def test_a_state_file_of_before_rounds_is_read(tmp_path):
+def test_a_state_file_without_rounds_is_upgraded(tmp_path):
     # Failure: after an upgrade a control loses its document or votes under
     # another id, because its state file has versions but no rounds and a newer
     # field gets no value.
--- a/dunlinpoint/control/tests/test_changes.py
+++ b/dunlinpoint/control/tests/test_changes.py
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 31))
-def test_who_is_told_changes_believes_what_the_control_knows(seed):
+def test_a_follower_of_changes_matches_the_control(seed):
     # Guards against additions, changes and removals of members that reach a follower
     # only with a complete list.
     rng = random.Random(seed)
@@ -104,7 +104,7 @@
             assert known_members(follower) == actual_members(control)
 
 
-def test_a_follower_that_knows_another_life_of_the_control_is_told_all():
+def test_a_follower_of_an_earlier_control_process_gets_the_complete_list():
     # Guards against changes sent relative to the list of an earlier process.
     control = Control()
     follower = control.follower()
@@ -114,7 +114,7 @@
     assert not reply.partial and len(reply.members) == 1
 
 
-def test_a_follower_that_missed_too_much_is_told_all(monkeypatch):
+def test_a_follower_that_missed_too_many_changes_gets_the_complete_list(monkeypatch):
     # Guards against ids of dropped members that are kept without limit.
     monkeypatch.setattr(membership, "MAX_DROPPED_IDS", 3)
     control = Control()
@@ -137,7 +137,7 @@
     return len(transport.getvalue())
 
 
-def test_a_group_that_breaks_is_told_in_a_tenth_of_the_bytes():
+def test_changes_of_a_broken_group_take_a_tenth_of_the_bytes():
     # When a group of 63 ranks breaks, each rank's next heartbeat reports it.
     sent_bytes = {}
     for changes_only in (False, True):
--- a/dunlinpoint/control/tests/test_membership.py
+++ b/dunlinpoint/control/tests/test_membership.py
@@ -14,7 +14,7 @@
     return member
 
 
-def test_a_second_heartbeat_without_a_sequence_is_taken():
+def test_a_second_heartbeat_without_a_sequence_is_accepted():
     # Guards against comparing an absent sequence with a number.
     members = membership.Membership()
     members.renew(heartbeat(), 0)
@@ -22,7 +22,7 @@
     assert only(members).load == 3
 
 
-def test_late_heartbeat_does_not_undo_draining():
+def test_delayed_heartbeat_does_not_undo_draining():
     # Guards against heartbeats applied in the order of arrival.
     members = membership.Membership()
     members.renew(heartbeat(5, draining=True), 0)
@@ -30,7 +30,7 @@
     assert only(members).draining
 
 
-def test_late_heartbeat_does_not_bring_back_what_left():
+def test_delayed_heartbeat_does_not_restore_an_endpoint_that_left():
     # Guards against requests to an address that now belongs to another endpoint.
     members = membership.Membership()
     members.renew(heartbeat(4), 0)
@@ -39,7 +39,7 @@
     assert only(members, 20).gone
 
 
-def test_leave_of_an_unknown_endpoint_is_remembered():
+def test_departure_of_an_unknown_endpoint_is_recorded():
     # As above, at a control that never received a heartbeat of the endpoint.
     members = membership.Membership()
     assert members.leave("e1", 0)
@@ -47,7 +47,7 @@
     assert only(members, 20).gone
 
 
-def test_renewals_leave_the_revision_alone():
+def test_renewals_do_not_change_the_revision():
     members = membership.Membership()
     members.renew(heartbeat(1), 0)
     before = members.revision
@@ -57,7 +57,7 @@
     assert members.revision > before
 
 
-def test_an_endpoint_that_starts_again_is_a_member_at_once():
+def test_a_restarted_endpoint_is_a_member_at_once():
     # Guards against ordering heartbeats by sequence alone, which restarts.
     members = membership.Membership()
     members.renew(heartbeat(40, incarnation=1000), 0)
@@ -65,7 +65,7 @@
     assert only(members).port == 2
 
 
-def test_an_endpoint_that_left_and_starts_again_is_a_member():
+def test_an_endpoint_that_left_and_restarted_is_a_member():
     # Guards against a new incarnation taken for a delayed heartbeat.
     members = membership.Membership()
     members.renew(heartbeat(40, incarnation=1000), 0)
@@ -74,7 +74,7 @@
     assert not only(members, 20).gone
 
 
-def test_what_an_earlier_life_said_late_does_not_touch_the_new_one():
+def test_delayed_messages_of_an_earlier_incarnation_are_ignored():
     # Guards against a running endpoint drained, moved or removed by delayed messages
     # of its earlier incarnation.
     members = membership.Membership()
@@ -86,7 +86,7 @@
     assert (member.port, bool(member.draining), bool(member.gone)) == (1, False, False)
 
 
-def test_a_leave_that_names_no_life_ends_those_there_were():
+def test_a_departure_without_incarnation_covers_all_earlier_ones():
     # Guards against a departure recorded without an incarnation, which would count as
     # older than every incarnation.
     members = membership.Membership()
--- a/dunlinpoint/control/tests/test_recovery.py
+++ b/dunlinpoint/control/tests/test_recovery.py
@@ -11,7 +11,7 @@
 from dunlinpoint.control.tests import cluster
 
 
-def test_a_lost_disk_does_not_vote_until_the_others_made_it_a_voter(tmp_path):
+def test_an_instance_that_lost_its_disk_does_not_vote(tmp_path):
     # Failure: an acknowledged document is replaced by another with the same
     # version. "first" is accepted by c0 and c1 alone (c2 is cut off); c0 loses
     # its disk; c1 fails; c2 proposes "second" to c0, which votes again although
@@ -26,7 +26,7 @@
     assert (outcome.accepted, outcome.reason) == (False, "no_quorum")
 
 
-def test_a_lost_disk_votes_again_and_the_next_loss_is_borne(tmp_path):
+def test_an_instance_that_lost_its_disk_can_become_a_voter_again(tmp_path):
     # Failure: after a repair, the failure of a second instance stops all
     # changes. c0 loses its disk and is made a voter again under its new id,
     # then c1 fails. The instance with the empty disk must not count as its
@@ -70,7 +70,7 @@
     return cluster.result(agreement.read(net.peers(host)))
 
 
-def test_a_lone_first_start_founds_nothing(tmp_path):
+def test_a_single_instance_does_not_found_a_deployment(tmp_path):
     # Failure: two deployments are founded instead of one. An instance that starts
     # alone accepts a document; the others start later and accept another. The
     # cause is founding with only the instances that happen to answer.
@@ -103,7 +103,7 @@
     assert net.by_host["c0"].node_id != net.founders[0].node_id
 
 
-def test_two_disks_of_five_are_lost_while_the_others_lose_power(tmp_path):
+def test_two_of_five_lose_their_disks_while_the_others_restart(tmp_path):
     # Failure: a document is lost after its acknowledgement. Of five voters, three
     # accept a change; two of these lose their disks and the others restart from
     # theirs. The remaining one still holds the change as accepted, and a read must
@@ -121,7 +121,7 @@
     assert net.change_voters("c2", ["c0", "c1", "c2", "c3", "c4"])
 
 
-def test_a_read_finishes_a_round_whose_proposer_died(tmp_path):
+def test_a_read_completes_the_round_of_a_failed_proposer(tmp_path):
     # Failure: a read returns an older document than one acknowledged. A document
     # is accepted by two acceptors; its proposer acknowledges it and fails before
     # it announces the result. The cause is a read that returns the committed
@@ -138,7 +138,7 @@
     assert result_of_read(net, "c2").change_id == "second"
 
 
-def test_a_read_without_a_majority_is_not_sure(tmp_path):
+def test_a_read_without_a_majority_returns_nothing(tmp_path):
     net = cluster.make(tmp_path)
     assert net.propose("c0", 0, "first").accepted
     net.cut("c1")
@@ -177,7 +177,7 @@
     assert text_at(net, "c2")["name"] == "first"
 
 
-def test_a_read_asks_the_voters_of_what_it_learned_while_asking(tmp_path):
+def test_a_read_calls_the_voters_of_a_newly_learned_decision(tmp_path):
     # Failure: a read returns an older document than one acknowledged. c1 and c2
     # accept c3, c4 and c5 as the next voters; these accept "second"; c0 calls c1
     # and c2 and learns of the new voters before their answers arrive. The cause is
--- a/dunlinpoint/control/tests/test_reports.py
+++ b/dunlinpoint/control/tests/test_reports.py
@@ -27,7 +27,7 @@
     return handler.view(*query, reports_known)
 
 
-def test_a_report_answers_the_polls_that_wait(control):
+def test_a_report_answers_waiting_polls(control):
     # Failure: an entry learns of a crash only after its poll ends, when the request
     # has already been sent to it again.
     reactor, state, handler = control
@@ -40,7 +40,7 @@
     assert reply.reports_revision == state.suspects.revision
 
 
-def test_what_is_known_already_answers_nobody(control):
+def test_a_known_report_answers_no_poll(control):
     reactor, state, handler = control
     handler.report([REPORT])
     waiting = poll(control, state.suspects.revision)
@@ -49,14 +49,14 @@
     assert not waiting.called
 
 
-def test_an_entry_that_starts_is_told_all(control):
+def test_a_new_entry_gets_all_reports(control):
     _, _, handler = control
     handler.report([REPORT])
     reply = poll(control, NOTHING_KNOWN).result
     assert [r.life for r in reply.reports] == ["life"]
 
 
-def test_followers_that_want_no_reports_get_none(control):
+def test_followers_without_interest_in_reports_get_none(control):
     # Agents are followers too, on links of a few Mbit/s.
     _, _, handler = control
     handler.report([REPORT])
--- a/dunlinpoint/control/tests/test_voters.py
+++ b/dunlinpoint/control/tests/test_voters.py
@@ -18,28 +18,28 @@
     return found and {v.node_id for v in found}
 
 
-def test_all_is_left_as_it_is_while_everyone_is_heard():
+def test_voters_do_not_change_while_all_are_live():
     assert next_ids([A, B, C], []) is None
     assert next_ids([A, B, C], [D]) is None
 
 
-def test_an_empty_disk_takes_its_predecessors_place_at_once():
+def test_an_instance_with_an_empty_disk_replaces_its_former_voter_at_once():
     replacement = voter("new", "z0", host="a")
     assert next_ids([A, B, C], [replacement]) == {"new", "b", "c"}
 
 
-def test_an_unheard_voter_gives_its_place_to_one_that_waits():
+def test_an_unresponsive_voter_is_replaced_by_a_candidate():
     # Failure: after machine a was replaced by d for good, the next failure (b)
     # stops all changes, because a is still a voter.
     assert next_ids([A, B, C], [D], a=voters.UNRESPONSIVE_MS + 1) == {"b", "c", "d"}
     assert next_ids([A, B, C], [D], a=voters.UNRESPONSIVE_MS - 1) is None
 
 
-def test_an_unheard_voter_stays_where_nobody_waits():
+def test_an_unresponsive_voter_stays_without_a_candidate():
     assert next_ids([A, B, C], [], a=voters.REMOVAL_MS + 1) is None
 
 
-def test_two_that_wait_are_added_from_the_zones_with_fewest_voters():
+def test_two_candidates_are_added_from_the_zones_with_fewest_voters():
     same = voter("same", "z0")
     assert next_ids([A, B, C], [same, D, E]) == {"a", "b", "c", "d", "e"}
     assert next_ids([A, B], [D]) == {"a", "b", "d"}
@@ -50,7 +50,7 @@
     assert next_ids(many, [A, B, C]) is None
 
 
-def test_those_gone_for_good_leave_a_large_set():
+def test_lost_voters_are_removed_from_a_large_set():
     gone = voters.REMOVAL_MS + 1
     assert next_ids([A, B, C, D, E], [], a=gone, b=gone) == {"c", "d", "e"}
     assert next_ids([A, B, C, D, E], [], a=gone) is None
@@ -75,7 +75,7 @@
     )
 
 
-def test_instances_are_found_through_any_that_answers():
+def test_instances_are_discovered_through_any_that_answers():
     # Failure: after all seeds were replaced, a control is isolated, because it
     # calls only its seeds. Its seeds are a and b; b lists c; c announces itself;
     # then a and b are lost.
@@ -90,7 +90,7 @@
     assert ("d", 7000) in known.addresses((D,), later)
 
 
-def test_only_live_ones_with_the_newest_decisions_wait_for_a_vote():
+def test_only_live_instances_with_recent_decisions_are_candidates():
     known = discovery.Controls(A, [], NOW)
     known.record(heartbeat("b", 50), NOW)
     known.record(heartbeat("d", 50), NOW)
--- a/dunlinpoint/follow/tests/test_view.py
+++ b/dunlinpoint/follow/tests/test_view.py
@@ -37,7 +37,7 @@
     return ttypes.Document(version, f"change-{version}", body, number, named)
 
 
-def test_a_majority_of_voters_must_vouch():
+def test_a_majority_of_voters_must_confirm():
     _, entry_view, by_name = follower()
     assert entry_view.confirmed_ms is None
     entry_view.merge(by_name["a"], reply_from("a", document(1)), 10)
@@ -48,7 +48,7 @@
     assert entry_view.confirmed_ms == 10
 
 
-def test_an_empty_successor_does_not_vouch_for_the_voter_it_was():
+def test_an_instance_with_an_empty_disk_does_not_confirm_as_its_former_voter():
     # Counting answers by address instead of voter id would accept a revoked key.
     _, entry_view, by_name = follower()
     entry_view.merge(by_name["a"], reply_from("a", document(1)), 10)
@@ -56,7 +56,7 @@
     assert entry_view.confirmed_ms is None
 
 
-def test_what_is_known_to_be_old_is_not_vouched_for():
+def test_a_superseded_document_is_not_confirmed():
     # Guards against an answer that announces a newer document and still confirms the
     # current one.
     _, entry_view, by_name = follower()
@@ -66,7 +66,7 @@
     assert by_name["b"].requests_bodies
 
 
-def test_a_change_of_voters_is_followed_without_a_new_document():
+def test_a_change_of_voters_is_applied_without_a_new_document():
     _, entry_view, by_name = follower()
     applied = []
     entry_view.on_document.append(applied.append)
@@ -84,7 +84,7 @@
     assert entry_view.document.version == 4
 
 
-def test_seeds_are_asked_again_when_nobody_answers():
+def test_seeds_are_polled_again_when_no_control_answers():
     # Guards against a follower that stays without any control.
     clock = task.Clock()
     known = controls.Controls(clock, [("seed", 7000)], 0)
@@ -96,7 +96,7 @@
     assert set(known.followed_by_address) == {("a", 7000), ("seed", 7000)}
 
 
-def test_a_list_that_says_nothing_new_changes_nothing():
+def test_an_equal_member_list_changes_nothing():
     # Guards against sorting all endpoints again whenever a lease is renewed.
     _, entry_view, by_name = follower()
 
@@ -117,7 +117,7 @@
         known = entry_view.generation
 
 
-def test_members_dropped_in_a_cut_are_listed_again():
+def test_members_dropped_in_a_partition_are_listed_again():
     # Guards against members that stay missing because the list of the control that
     # holds their leases is unchanged since they were dropped here.
     clock, entry_view, by_name = follower()
@@ -140,7 +140,7 @@
     assert [m.endpoint_id for m in entry_view.live("service")] == ["e"]
 
 
-def test_controls_that_know_different_lives_of_an_endpoint():
+def test_controls_that_know_different_incarnations_of_an_endpoint():
     # Guards against ordering member records by sequence numbers alone, which restart
     # with each incarnation.
     def listed(name, **fields):
@@ -160,7 +160,7 @@
             assert member.port == 2
 
 
-def test_a_follower_on_a_narrow_link_takes_documents_at_its_own_rhythm():
+def test_a_follower_limits_the_rate_of_documents():
     # Guards against a group leader's link saturated by documents it hardly needs.
     clock, entry_view, by_name = follower()
     entry_view.min_body_interval_ms = 2000
@@ -175,7 +175,7 @@
     assert entry_view.document.round == 3
 
 
-def test_a_control_that_knows_few_entries_does_not_make_them_fewer():
+def test_a_control_that_knows_few_entries_does_not_reduce_the_count():
     # Guards against entries that each use a whole rate limit after controls restarted.
     clock, entry_view, by_name = follower()
 
--- a/dunlinpoint/wire/tests/test_rpc.py
+++ b/dunlinpoint/wire/tests/test_rpc.py
@@ -11,7 +11,7 @@
         return defer.fail(Thrift.TApplicationException(message="Internal error"))
 
 
-def test_a_peer_that_fails_within_is_a_wire_error():
+def test_an_internal_error_of_a_peer_is_a_wire_error():
     # Failure: an agent drops out of the membership for good, because control answers
     # one heartbeat with an internal error and the thrift library's own error, passed
     # through unchanged, ends the agent's heartbeat loop.
@@ -42,7 +42,7 @@
                 call.func(*call.args)
 
 
-def test_an_answer_that_waits_to_be_read_is_not_late():
+def test_an_answer_that_arrived_but_is_unread_is_not_timed_out():
     # Failure: a group leader takes 70 ranks for unresponsive at once and calls each
     # one's engine, and a map switch takes 2.8 s. The process is busy for longer than
     # the timeout while answers arrive; then timers run before connections are read,
@@ -62,7 +62,7 @@
     assert results == ["read after the timer"]
 
 
-def test_an_answer_that_never_comes_is_given_up_on():
+def test_a_call_without_an_answer_times_out():
     reactor, results = Reactor(), []
     link = rpc.Link(reactor, "127.0.0.1", 1, None, 250)
 
