--- a/dunlinpoint/control/agreement.py
+++ b/dunlinpoint/control/agreement.py
@@ -61,13 +61,13 @@
 class Peers:
     """Calls from this control instance to the voters and other instances.
 
-    ``link_to(host, port)`` returns a link to another instance; ``everyone()``
+    ``link_to(host, port)`` returns a link to another instance; ``known_addresses()``
     lists the (host, port) of all known instances, which are sent decisions.
     """
 
     local: acceptors.Acceptor
     link_to: object
-    everyone: object
+    known_addresses: object
 
     @property
     def voters(self):
@@ -80,13 +80,13 @@
         return self.link_to(*voter.address).call(method, *args)
 
     def _quorum(self, voting, method, args, is_success):
-        """The answers to *method* once a majority are *good* or all have arrived.
+        """The answers to *method* once a majority succeeded or all have arrived.
 
-        Returns a Deferred of a list. Only a majority is waited for: a call to a
-        frozen or partitioned voter lasts until its timeout, and waiting for
-        every answer delayed each round by that (1.6 s a change with one of
-        three voters frozen, against 4 ms with all up). A change could then
-        exceed the 7 s within which it must be in force.
+        Returns a Deferred of a list; ``is_success(answer)`` tells which ones succeeded.
+        Only a majority is waited for: a call to a frozen or partitioned voter lasts
+        until its timeout, and waiting for every answer delayed each round by that
+        (1.6 s a change with one of three voters frozen, against 4 ms with all up). A
+        change could then exceed the 7 s within which it must be in force.
         """
         if not voting:
             return defer.succeed([])
@@ -133,7 +133,7 @@
         """Notify all instances that *decision* was chosen, without waiting."""
         self.local.commit(decision)
         chosen = decision.to_message(with_body=False)
-        for address in self.everyone():
+        for address in self.known_addresses():
             self.link_to(*address).call("learn", chosen, ballot).addErrback(
                 lambda failure: failure.trap(errors.WireError)
             )
--- a/dunlinpoint/control/discovery.py
+++ b/dunlinpoint/control/discovery.py
@@ -70,14 +70,14 @@
 
     def addresses(self, voting, now):
         """The sorted (host, port) of the other instances, *voting* included."""
-        found = set(self.seeds) | {v.address for v in voting}
-        found |= {h.voter.address for h in self.recent(now)}
+        addresses = set(self.seeds) | {v.address for v in voting}
+        addresses |= {a.voter.address for a in self.recent(now)}
         for address, listed_ms in list(self.listed_ms_by_address.items()):
             if now - listed_ms > LISTED_TIMEOUT_MS:
                 del self.listed_ms_by_address[address]
             else:
-                found.add(address)
-        return sorted(found - {self.own.address})
+                addresses.add(address)
+        return sorted(addresses - {self.own.address})
 
     def recent(self, now):
         """Announcements within ``voters.REMOVAL_MS``; older ones are dropped."""
@@ -100,11 +100,11 @@
         voting = {v.node_id for v in committed.voters}
         least = committed.round - voters.MAX_LAG_ROUNDS
         return [
-            h.voter
-            for h in self.recent(now)
-            if h.voter.node_id not in voting
-            and now - h.received_ms <= voters.UNRESPONSIVE_MS
-            and h.round >= least
+            a.voter
+            for a in self.recent(now)
+            if a.voter.node_id not in voting
+            and now - a.received_ms <= voters.UNRESPONSIVE_MS
+            and a.round >= least
         ]
 
     def to_heartbeat(self, committed):
--- a/dunlinpoint/control/membership.py
+++ b/dunlinpoint/control/membership.py
@@ -170,18 +170,18 @@
 
     def expire(self, now):
         """Drop members whose lease expired; returns their ids."""
-        gone = [i for i, lease in self.by_id.items() if lease.expires_ms <= now]
-        if not gone:
-            return gone
+        expired = [i for i, lease in self.by_id.items() if lease.expires_ms <= now]
+        if not expired:
+            return expired
         self.revision += 1
-        for endpoint_id in gone:
+        for endpoint_id in expired:
             del self.by_id[endpoint_id]
             self.changed_by_id.pop(endpoint_id, None)
             self.dropped_by_id[endpoint_id] = self.revision
         if len(self.dropped_by_id) > MAX_DROPPED_IDS:
             self.dropped_by_id.clear()
             self.complete_since = self.revision
-        return gone
+        return expired
 
     def changes_since(self, revision, now):
         """The ``Changes`` after *revision*, or ``None`` if they are not known."""
--- a/dunlinpoint/control/server.py
+++ b/dunlinpoint/control/server.py
@@ -98,14 +98,14 @@
         known = discovery.Controls(own, list(settings.seeds), ms_clock.now())
         links = rpc.Links(reactor, Control.Client, PEER_TIMEOUT_MS)
 
-        def everyone():
+        def known_addresses():
             return known.addresses(local.committed.voters, ms_clock.now())
 
         state = cls(
             settings,
             ms_clock,
             counters,
-            agreement.Peers(local, links.to, everyone),
+            agreement.Peers(local, links.to, known_addresses),
             known,
             links,
             membership.Membership(lease_ms=settings.lease_ms),
@@ -207,7 +207,7 @@
 
     def known_controls(self):
         """This and the other control instances, as ``Voter`` messages."""
-        known = [h.voter for h in self.controls.recent(self.clock.now())]
+        known = [a.voter for a in self.controls.recent(self.clock.now())]
         return [v.to_message() for v in [self.controls.own, *known]]
 
 
@@ -262,10 +262,10 @@
         reply = state.make_view(*query)
         has_changes = not reply.unchanged or reply.document is not None or reply.reports
         if wait_ms and not has_changes:
-            changed = defer.Deferred()
-            state.waiting_polls.append(changed)
-            timer = state.clock.call_later(wait_ms, state.end_wait, changed)
-            yield changed
+            waiter = defer.Deferred()
+            state.waiting_polls.append(waiter)
+            timer = state.clock.call_later(wait_ms, state.end_wait, waiter)
+            yield waiter
             if timer.active():
                 timer.cancel()
             reply = state.make_view(*query)
@@ -324,7 +324,7 @@
         # cannot confirm its document until the round is completed.
         yield agreement.read(state.peers)
     revisions = state.peer_revision_by_address
-    addresses = state.peers.everyone()
+    addresses = state.peers.known_addresses()
     calls = [
         state.links.to(*address).call(
             "view",
@@ -360,19 +360,19 @@
 @defer.inlineCallbacks
 def announce(state):
     """Send a heartbeat to every known control and register itself as a member."""
-    own = state.controls
+    controls = state.controls
     if state.peers.local.unfounded:
         # This instance may be about to become the founder at this address.
         # Announced before that, it was taken for that founder's replacement and
         # made a voter under an id that it gave up a moment later; then one more
         # failure stopped all changes.
         return
-    own.own = attrs.evolve(own.own, node_id=state.peers.local.node_id)
-    heartbeat = own.to_heartbeat(state.peers.local.committed)
+    controls.own = attrs.evolve(controls.own, node_id=state.peers.local.node_id)
+    heartbeat = controls.to_heartbeat(state.peers.local.committed)
     state.membership.renew(heartbeat, state.clock.now())
     calls = [
         state.links.to(*address).call("heartbeat", heartbeat)
-        for address in state.peers.everyone()
+        for address in state.peers.known_addresses()
     ]
     results = yield defer.DeferredList(calls, consumeErrors=True)
     for ok, failure in results:
--- a/dunlinpoint/control/tests/cluster.py
+++ b/dunlinpoint/control/tests/cluster.py
@@ -61,11 +61,11 @@
     def peers(self, host):
         """The ``Peers`` of the instance at *host*."""
 
-        def everyone():
+        def known_addresses():
             return [(other, PORT) for other in self.by_host if other != host]
 
         return agreement.Peers(
-            self.by_host[host], lambda to, _port: Link(self, host, to), everyone
+            self.by_host[host], lambda to, _port: Link(self, host, to), known_addresses
         )
 
     def propose(self, host, expected, change_id, text="{}"):
--- a/dunlinpoint/control/tests/test_changes.py
+++ b/dunlinpoint/control/tests/test_changes.py
@@ -33,15 +33,15 @@
 
     def follower(self):
         entry_view = view.View.from_config(self.reactor, "z", [("h", 1)])
-        (follow,) = entry_view.controls.update([("h", 1)], 0)
-        return entry_view, follow
+        (followed,) = entry_view.controls.update([("h", 1)], 0)
+        return entry_view, followed
 
     def poll(self, follower, changes_only=True):
         """Poll once for *follower*; returns the ``View`` it received."""
-        entry_view, follow = follower
-        query = follow.revision, DOCUMENT_KNOWN, False
+        entry_view, followed = follower
+        query = followed.revision, DOCUMENT_KNOWN, False
         reply = self.state.make_view(*query, changes_only=changes_only)
-        entry_view.merge(follow, reply, self.now)
+        entry_view.merge(followed, reply, self.now)
         return reply
 
 
--- a/dunlinpoint/control/voters.py
+++ b/dunlinpoint/control/voters.py
@@ -91,7 +91,7 @@
     return len(voters) // 2 + 1
 
 
-def _zones(voters):
+def _count_by_zone(voters):
     counts = {}
     for voter in voters:
         counts[voter.zone] = counts.get(voter.zone, 0) + 1
@@ -100,7 +100,7 @@
 
 def _choose(candidates, voters):
     """The one of *candidates* whose zone has the fewest *voters*."""
-    counts = _zones(voters)
+    counts = _count_by_zone(voters)
     return min(candidates, key=lambda w: (counts.get(w.zone, 0), w.node_id))
 
 
@@ -110,11 +110,11 @@
 
 def _grown(voters, candidates):
     """*voters* plus one or two of *candidates* to an odd number, or ``None``."""
-    wanted = 2 if len(voters) % 2 else 1
-    if len(candidates) < wanted or len(voters) + wanted > MAX_VOTERS:
+    added = 2 if len(voters) % 2 else 1
+    if len(candidates) < added or len(voters) + added > MAX_VOTERS:
         return None
     grown, remaining = list(voters), list(candidates)
-    for _ in range(wanted):
+    for _ in range(added):
         chosen = _choose(remaining, grown)
         remaining.remove(chosen)
         grown.append(chosen)
--- a/dunlinpoint/follow/view.py
+++ b/dunlinpoint/follow/view.py
@@ -124,7 +124,7 @@
         followed.node_id = reply.node_id
         if reply.places and (reply.zone == self.zone or self.zone_entries == 1):
             self.zone_index, self.zone_entries = reply.place, reply.places
-        self._count_entries(reply, now)
+        self._update_entry_position(reply, now)
         if reply.unchanged:
             self._extend_leases(followed, now + reply.lease_ms)
         else:
@@ -157,7 +157,7 @@
         if reply.settled:
             followed.confirmed_ms = requested_ms
 
-    def _count_entries(self, reply, now):
+    def _update_entry_position(self, reply, now):
         """Update this entry's position among the entries of all zones.
 
         A control that has just started, or is partitioned, knows too few of them.
@@ -311,9 +311,9 @@
             self._schedule_poll(followed, 0)
         self.clock.call_later(CONTROLS_UPDATE_MS, self.follow, reactor)
 
-    def _schedule_poll(self, followed, pause_ms):
-        def poll_again(pause_ms):
-            self._schedule_poll(followed, pause_ms)
+    def _schedule_poll(self, followed, delay_ms):
+        def poll_again(delay_ms):
+            self._schedule_poll(followed, delay_ms)
 
         def run():
             if followed.is_active:
@@ -323,4 +323,4 @@
             log.error("view_failed", error=failure.getErrorMessage())
             self._schedule_poll(followed, RETRY_MS)
 
-        self.clock.call_later(pause_ms, run)
+        self.clock.call_later(delay_ms, run)
