--- a/dunlinpoint/control/agreement.py
+++ b/dunlinpoint/control/agreement.py
@@ -1,24 +1,25 @@
 """Agreement among control instances on each decision, round by round.
 
-Each round is single-value Paxos among its voters, who were named by the round
-before: a proposer asks a majority of them to promise a ballot, takes over any
-decision already accepted under a lower ballot, asks a majority to accept, then
-tells everyone the result (learn). A minority, such as a zone cut off from the
-rest, cannot decide anything; it keeps serving the last decision it learned.
+Each round is single-value Paxos among its voters, who are part of the previous
+round's decision: a proposer asks a majority of them to promise a ballot, adopts
+any decision already accepted under a lower ballot, asks a majority to accept,
+then announces the result to all instances (learn). A minority, such as a
+partitioned zone, cannot decide anything; it keeps serving the last decision it
+learned.
 
 A decision is a document or a change of the voters (:mod:`voters`). Because
-each round has exactly one set, two parts of a deployment never believe in two
-disjoint majorities: one that missed a change of voters asks the old set, of
-whom a majority took part in the change and tells it.
-
-Operators' compare-and-set: a change names the version it was written
-against; it is refused unless that is the version committed here. Two
-operators racing on one version both reach the same round; one document
-wins and the other change gets a conflict. A resent change (same change id)
-is recognised from the recent history and answered with its version
-instead of being applied twice.
-
-Documents are whole, not deltas, so a process that missed hundreds of
+each round has exactly one set of voters, two partitions of a deployment never
+use two disjoint majorities: an instance that missed a change of voters asks the
+old set, a majority of which took part in the change and returns it.
+
+Operators' changes are compare-and-set: a change names the version it is based
+on and is refused unless that is the version committed here. Two operators
+changing the same version reach the same round; one document wins and the other
+change is refused as a conflict. A retried change (same change id) is recognised
+from the recent history and answered with its version instead of being applied
+twice.
+
+Documents are complete, not deltas, so a process that missed hundreds of
 rounds catches up by learning the newest one.
 """
 
@@ -35,16 +36,21 @@
 
 log = logs.logger("control")
 
-# How often a read asks again when what it learned changed whom to ask.
-READ_ROUNDS = 5
-# How often a change is proposed again after a change of voters took its round.
-PROPOSE_ROUNDS = 3
+# Attempts of a read. A new attempt is needed when the answers change the voters.
+READ_ATTEMPTS = 5
+# Attempts of a proposal. A new one is needed when a change of voters takes its round.
+PROPOSE_ATTEMPTS = 3
 NOTHING_KNOWN = -1
 
 
 @attrs.define
 class Outcome:
-    """What became of one proposed change."""
+    """The result of one proposed change.
+
+    ``version`` is the change's version if accepted, else the version committed
+    here. ``reason`` is empty, ``"resent"``, ``"held"``, ``"version_conflict"`` or
+    ``"no_quorum"``.
+    """
 
     accepted: bool
     version: int
@@ -53,19 +59,19 @@
 
 @attrs.define
 class Peers:
-    """The voters as this control instance reaches them.
+    """Calls from this control instance to the voters and other instances.
 
-    ``link_to(host, port)`` is a link to another instance; ``everyone()`` lists
-    the addresses of all known ones, who are told of decisions.
+    ``link_to(host, port)`` returns a link to another instance; ``known_addresses()``
+    lists the (host, port) of all known instances, which are sent decisions.
     """
 
     local: acceptors.Acceptor
     link_to: object
-    everyone: object
+    known_addresses: object
 
     @property
     def voters(self):
-        """The voters of the round to come."""
+        """The voters of the next round."""
         return self.local.committed.voters
 
     def _call(self, voter, method, *args):
@@ -73,14 +79,14 @@
             return defer.maybeDeferred(getattr(self.local, method), *args)
         return self.link_to(*voter.address).call(method, *args)
 
-    def _quorum(self, voting, method, args, good):
-        """Answers to *method* once a majority are *good*, or all have come.
+    def _quorum(self, voting, method, args, is_success):
+        """The answers to *method* once a majority succeeded or all have arrived.
 
-        A frozen or cut-off voter answers nothing until its timeout;
-        waiting for every answer made each round wait for it (1.6 s a
-        change with one of three frozen, against 4 ms with all up), and a
-        change could then miss the 7 s bound for being in force. A
-        majority is all agreement needs.
+        Returns a Deferred of a list; ``is_success(answer)`` tells which ones succeeded.
+        Only a majority is waited for: a call to a frozen or partitioned voter lasts
+        until its timeout, and waiting for every answer delayed each round by that
+        (1.6 s a change with one of three voters frozen, against 4 ms with all up). A
+        change could then exceed the 7 s within which it must be in force.
         """
         if not voting:
             return defer.succeed([])
@@ -89,58 +95,58 @@
         answers = []
         waiting = [len(calls)]
 
-        def settle(value, ok):
+        def collect(value, ok):
             waiting[0] -= 1
             if ok:
                 answers.append(value)
             elif not value.check(errors.WireError):
                 log.error("call_failed", call=method, error=value.getErrorMessage())
-            enough = sum(1 for a in answers if good(a)) >= voters.majority(voting)
+            enough = sum(1 for a in answers if is_success(a)) >= voters.majority(voting)
             if not done.called and (enough or waiting[0] == 0):
                 done.callback(list(answers))
 
         for call in calls:
             call.addCallbacks(
-                settle,
-                lambda failure: settle(failure, False),
+                collect,
+                lambda failure: collect(failure, False),
                 callbackArgs=(True,),
             )
         return done
 
     def inspect(self, voting):
-        """States of a majority of *voting*, if they answer."""
+        """The states of a majority of *voting*, if they answer (Deferred list)."""
         known = self.local.committed.round
         return self._quorum(voting, "inspect", (known,), lambda state: state.ok)
 
     def prepare(self, voting, number, ballot):
-        """Promises of those of *voting* that answered (a Deferred of a list)."""
+        """The promises of the voters that answered (Deferred list)."""
         return self._quorum(voting, "prepare", (number, ballot), lambda p: p.ok)
 
     @defer.inlineCallbacks
     def accept(self, voting, number, ballot, decision):
-        """How many of *voting* accepted."""
+        """The number of *voting* that accepted *decision* (Deferred int)."""
         args = number, ballot, decision.to_message()
         answers = yield self._quorum(voting, "accept", args, lambda ok: ok)
         return sum(1 for ok in answers if ok)
 
     def learn(self, decision, ballot):
-        """Tell everyone that *decision* was chosen; nothing waits for it."""
-        self.local.take(decision)
+        """Notify all instances that *decision* was chosen, without waiting."""
+        self.local.commit(decision)
         chosen = decision.to_message(with_body=False)
-        for address in self.everyone():
+        for address in self.known_addresses():
             self.link_to(*address).call("learn", chosen, ballot).addErrback(
                 lambda failure: failure.trap(errors.WireError)
             )
 
 
 @defer.inlineCallbacks
-def found(peers, own, founders):
-    """Settle whether an empty instance is a founder that starts anew.
+def check_founding(peers, own, founders):
+    """Determine whether an instance without state is a founder's first start.
 
-    It is one if every other founder answers and none has decided or accepted
+    It is if every other founder answers and none has decided or accepted
     anything: then nothing that it may have voted for was chosen, and their
-    promises bound what it may have promised. Otherwise it lost its disk and
-    waits to be made a voter under its new id.
+    promises bound what it may have promised. Otherwise it has lost its disk and
+    must be made a voter under its new id.
     """
     local = peers.local
     if not local.unfounded:
@@ -152,46 +158,46 @@
     results = yield defer.DeferredList(calls, consumeErrors=True)
     states = [state for ok, state in results if ok]
     for state in states:
-        local.take(acceptors.Decision.from_message(state.committed))
+        local.commit(acceptors.Decision.from_message(state.committed))
     empty = [s for s in states if not s.committed.round and s.accepted is None]
     if local.unfounded and len(empty) == len(others):
-        local.found(own, founders, empty)
+        local.become_founder(own, founders, empty)
 
 
 @defer.inlineCallbacks
 def read(peers):
-    """The newest decision for certain, or ``None`` when that can't be known.
+    """The newest decision (Deferred), or ``None`` if it cannot be determined.
 
-    A majority of the voters must answer. What is accepted somewhere for the
-    next round may have been acknowledged to its operator already, so that
-    round is finished before anything older is shown.
+    A majority of the voters must answer. A decision accepted by any of them for
+    the next round may already have been acknowledged to its operator, so that
+    round is completed before an older decision is returned.
     """
     local = peers.local
-    for _ in range(READ_ROUNDS):
+    for _ in range(READ_ATTEMPTS):
         voting = peers.voters
         number = local.committed.round
         states = yield peers.inspect(voting)
-        sound = [state for state in states if state.ok]
-        if not voting or len(sound) < voters.majority(voting):
+        valid = [state for state in states if state.ok]
+        if not voting or len(valid) < voters.majority(voting):
             return None
-        newest = max(sound, key=lambda state: state.committed.round)
-        local.take(acceptors.Decision.from_message(newest.committed))
+        newest = max(valid, key=lambda state: state.committed.round)
+        local.commit(acceptors.Decision.from_message(newest.committed))
         if local.committed.round != number:
-            # Learned from these answers or while they were on their way. Its
-            # voters may be others, and are the ones to be asked.
+            # A newer decision was learned from the answers or meanwhile. Its
+            # voters may differ, and theirs are the answers that count.
             continue
-        if not any(s.accepted and s.accepted.round > number for s in sound):
+        if not any(s.accepted and s.accepted.round > number for s in valid):
             return local.committed
         yield decide(peers, number + 1, None)
     return None
 
 
 @defer.inlineCallbacks
-def decide(peers, number, mine):
-    """One round; the ``Decision`` it chose or ``None``.
+def decide(peers, number, proposal):
+    """Run round *number*; a Deferred of the ``Decision`` it chose, or ``None``.
 
-    Proposes *mine* unless something was already accepted; with *mine*
-    ``None`` it only finishes a round that another proposer began.
+    Proposes *proposal* unless another decision was already accepted; with
+    *proposal* ``None`` it only completes a round that another proposer began.
     """
     local = peers.local
     voting = peers.voters
@@ -201,7 +207,7 @@
     promises = yield peers.prepare(voting, number, ballot)
     newest = max(promises, key=lambda p: p.committed.round, default=None)
     if newest is not None and newest.committed.round >= number:
-        local.take(acceptors.Decision.from_message(newest.committed))
+        local.commit(acceptors.Decision.from_message(newest.committed))
         return None
     granted = [p for p in promises if p.ok]
     for promise in promises:
@@ -213,7 +219,7 @@
         key=lambda p: p.accepted_ballot,
         default=None,
     )
-    chosen = mine
+    chosen = proposal
     if prior is not None:
         chosen = acceptors.Decision.from_message(prior.accepted)
     if chosen is None:
@@ -227,23 +233,26 @@
 
 @defer.inlineCallbacks
 def propose(peers, expected_version, change_id, text):
-    """Try to commit *text* as the version after *expected_version*."""
+    """Try to commit *text* as the version after *expected_version*.
+
+    Returns a Deferred of an ``Outcome``.
+    """
     local = peers.local
-    for _ in range(PROPOSE_ROUNDS):
+    for _ in range(PROPOSE_ATTEMPTS):
         known = local.version_of(change_id)
         if known is not None:
             return Outcome(True, known, "resent")
         current = local.committed
         if expected_version != current.version:
             return Outcome(False, current.version, "version_conflict")
-        mine = attrs.evolve(
+        proposal = attrs.evolve(
             current,
             round=current.round + 1,
             version=current.version + 1,
             change_id=change_id,
             body=packed.pack(text),
         )
-        chosen = yield decide(peers, mine.round, mine)
+        chosen = yield decide(peers, proposal.round, proposal)
         if chosen is not None and chosen.change_id == change_id:
             return Outcome(True, chosen.version)
         if local.committed.round == current.round:
@@ -255,9 +264,9 @@
 
 
 @defer.inlineCallbacks
-def change_voters(peers, following):
-    """Try to make *following* the voters of the rounds to come; whether done."""
+def change_voters(peers, next_voters):
+    """Try to decide on *next_voters*; a Deferred of whether it succeeded."""
     current = peers.local.committed
-    mine = attrs.evolve(current, round=current.round + 1, voters=tuple(following))
-    chosen = yield decide(peers, mine.round, mine)
-    return chosen is not None and chosen.voters == mine.voters
+    proposal = attrs.evolve(current, round=current.round + 1, voters=tuple(next_voters))
+    chosen = yield decide(peers, proposal.round, proposal)
+    return chosen is not None and chosen.voters == proposal.voters
--- a/dunlinpoint/control/server.py
+++ b/dunlinpoint/control/server.py
@@ -1,16 +1,15 @@
 """The thrift handler of the ``Control`` service, and its background loops.
 
-- ``heartbeat`` renews an endpoint's lease and answers with the document in
-  force here when the endpoint's version is older.
-- ``view`` lists this instance's live members and its document.
+- ``heartbeat`` renews an endpoint's lease and returns the document in force
+  here if the endpoint's version is older.
+- ``view`` returns this instance's live members and its document.
 - ``apply`` validates an operator's document and runs one agreement round.
 - ``prepare``, ``accept``, ``learn`` are the acceptor's side of agreement.
 
 Every ``discovery.ANNOUNCE_MS`` the instance announces itself to the others,
-asks them for their view and learns any newer document: a control that was cut
-off, or restarted after many changes passed it by, catches up without waiting
-for the next change. One of the voters then sees whether the set of voters
-should change.
+requests their view and learns any newer document: a control that was partitioned,
+or restarted after missing many changes, catches up without waiting for the next
+change. One of the voters then checks whether the set of voters should change.
 """
 
 from __future__ import annotations
@@ -30,16 +29,18 @@
 log = logs.logger("control")
 
 PEER_TIMEOUT_MS = 800
-EXPIRE_MS = 250
+EXPIRE_INTERVAL_MS = 250
 NO_QUORUM_RETRY_MS = 1000
 NO_FOLLOWER = ""
 
 
 @attrs.define
 class Settings:
-    """One control instance's settings.
+    """Settings of a control instance.
 
-    *seeds* are the addresses of the instances that found the deployment.
+    *seeds* are the (host, port) of the instances that found the deployment, *data*
+    the folder of the durable state (``None``: memory only). With *bootstrap*, an
+    empty folder means a first start.
     """
 
     control_id: str
@@ -58,7 +59,7 @@
 
     @property
     def own_founder(self):
-        """The founder that this instance would be, or ``None``."""
+        """The founder with this instance's address, or ``None``."""
         if (self.host, self.port) not in self.seeds:
             return None
         return voters.founder(self.host, self.port)
@@ -66,7 +67,10 @@
 
 @attrs.define
 class State:
-    """A control instance: its acceptor, peers, members and counters."""
+    """A control instance: its acceptor, peers, members and counters.
+
+    ``waiting_polls`` holds a Deferred for each long poll that waits for a change.
+    """
 
     settings: Settings
     clock: clock.Clock
@@ -75,7 +79,7 @@
     controls: discovery.Controls
     links: rpc.Links
     membership: membership.Membership
-    waiting: list = attrs.field(factory=list)
+    waiting_polls: list = attrs.field(factory=list)
     followers: followers.Followers = attrs.field(factory=followers.Followers)
     peer_revision_by_address: dict = attrs.field(factory=dict)
     suspects: registry.Registry = attrs.field(factory=registry.Registry)
@@ -94,60 +98,60 @@
         known = discovery.Controls(own, list(settings.seeds), ms_clock.now())
         links = rpc.Links(reactor, Control.Client, PEER_TIMEOUT_MS)
 
-        def everyone():
+        def known_addresses():
             return known.addresses(local.committed.voters, ms_clock.now())
 
         state = cls(
             settings,
             ms_clock,
             counters,
-            agreement.Peers(local, links.to, everyone),
+            agreement.Peers(local, links.to, known_addresses),
             known,
             links,
             membership.Membership(lease_ms=settings.lease_ms),
         )
-        local.on_learn.append(state.changed)
+        local.on_commit.append(state.answer_polls)
         return state
 
-    def changed(self):
-        """Answer every follower that waits for a change."""
-        waiting, self.waiting = self.waiting, []
-        for waiter in waiting:
+    def answer_polls(self):
+        """Answer all long polls that wait for a change."""
+        waiters, self.waiting_polls = self.waiting_polls, []
+        for waiter in waiters:
             if not waiter.called:
                 waiter.callback(None)
 
-    def renew(self, beat):
-        """Take in one heartbeat from an endpoint or another control."""
+    def renew(self, heartbeat):
+        """Process one heartbeat of an endpoint or another control."""
         self.counters.incr("heartbeats")
         now = self.clock.now()
-        if beat.kind == discovery.KIND:
-            self.controls.hear(beat, now)
-        if self.membership.renew(beat, now):
+        if heartbeat.kind == discovery.KIND:
+            self.controls.record(heartbeat, now)
+        if self.membership.renew(heartbeat, now):
             log.info(
                 "member",
-                endpoint_id=beat.endpoint_id,
-                kind=beat.kind,
-                zone=beat.zone,
-                draining=bool(beat.draining),
-                sequence=beat.sequence,
-                incarnation=beat.incarnation,
+                endpoint_id=heartbeat.endpoint_id,
+                kind=heartbeat.kind,
+                zone=heartbeat.zone,
+                draining=bool(heartbeat.draining),
+                sequence=heartbeat.sequence,
+                incarnation=heartbeat.incarnation,
             )
-            self.changed()
+            self.answer_polls()
 
     def leave(self, endpoint_id, incarnation=None):
-        """An endpoint says that it, or the start *incarnation* of it, has left."""
+        """Record that an endpoint, or its *incarnation* if given, has left."""
         now, wall_ms = self.clock.now(), clock.unix_ms()
         if self.membership.leave(endpoint_id, now, incarnation, wall_ms):
             log.info("left", endpoint_id=endpoint_id, incarnation=incarnation)
-            self.changed()
+            self.answer_polls()
 
-    def wake(self, waiter):
-        """Answer one follower whose wait ran out."""
-        if waiter in self.waiting:
-            self.waiting.remove(waiter)
+    def end_wait(self, waiter):
+        """Answer a long poll whose ``wait_ms`` has passed."""
+        if waiter in self.waiting_polls:
+            self.waiting_polls.remove(waiter)
             waiter.callback(None)
 
-    def show(
+    def make_view(
         self,
         revision,
         number,
@@ -159,8 +163,9 @@
     ):
         """This instance's ``View`` for a follower at *revision* and round *number*.
 
-        It bears the reports after *reports_known* where the follower names one, and
-        with *changes_only* no more of the members than has changed since *revision*.
+        It contains the crash reports after *reports_known* unless that is ``None``,
+        and with *changes_only* only the members that changed since *revision*. A
+        newer document has its text only with *bodies*.
         """
         now = self.clock.now()
         position = self.followers.position_of(zone, follower, now)
@@ -202,7 +207,7 @@
 
     def known_controls(self):
         """This and the other control instances, as ``Voter`` messages."""
-        known = [h.voter for h in self.controls.heard(self.clock.now())]
+        known = [a.voter for a in self.controls.recent(self.clock.now())]
         return [v.to_message() for v in [self.controls.own, *known]]
 
 
@@ -213,20 +218,20 @@
 
     state: State
 
-    def heartbeat(self, beat):
+    def heartbeat(self, heartbeat):
         state = self.state
-        state.renew(beat)
-        # The whole document rides along only when the endpoint's version is
-        # older: sending it on every heartbeat cost 852 reply bytes instead of
-        # 12 with the default document, and grows with every workspace.
+        state.renew(heartbeat)
+        # The document is included only if the endpoint's version is older: in
+        # every reply it took 852 bytes instead of 12 with the default document,
+        # and it grows with every workspace.
         committed = state.peers.local.committed
-        if beat.kind == discovery.KIND:
+        if heartbeat.kind == discovery.KIND:
             return ttypes.HeartbeatReply(state.membership.lease_ms)
         document = None
-        if beat.config_version < committed.version:
+        if heartbeat.config_version < committed.version:
             document = committed.to_message()
         controls = state.known_controls()
-        if beat.controls_known == discovery.checksum(
+        if heartbeat.controls_known == discovery.checksum(
             (v.host, v.port) for v in controls
         ):
             controls = None
@@ -245,7 +250,7 @@
         changes_only=False,
     ):
         state = self.state
-        asked = (
+        query = (
             revision,
             number,
             bodies,
@@ -254,27 +259,27 @@
             reports_known,
             changes_only,
         )
-        shown = state.show(*asked)
-        is_news = not shown.unchanged or shown.document is not None or shown.reports
-        if wait_ms and not is_news:
-            changed = defer.Deferred()
-            state.waiting.append(changed)
-            timer = state.clock.call_later(wait_ms, state.wake, changed)
-            yield changed
+        reply = state.make_view(*query)
+        has_changes = not reply.unchanged or reply.document is not None or reply.reports
+        if wait_ms and not has_changes:
+            waiter = defer.Deferred()
+            state.waiting_polls.append(waiter)
+            timer = state.clock.call_later(wait_ms, state.end_wait, waiter)
+            yield waiter
             if timer.active():
                 timer.cancel()
-            shown = state.show(*asked)
-        return shown
+            reply = state.make_view(*query)
+        return reply
 
     def report(self, reports):
         state = self.state
         now = state.clock.now()
-        news = [
+        new_reports = [
             report for report in reports if state.suspects.apply_report(report, now)
         ]
-        state.counters.incr("crash_reports", len(news))
-        if news:
-            state.changed()
+        state.counters.incr("crash_reports", len(new_reports))
+        if new_reports:
+            state.answer_polls()
 
     @defer.inlineCallbacks
     def apply(self, expected_version, change_id, body_json):
@@ -310,16 +315,16 @@
 
 @defer.inlineCallbacks
 def catch_up(state):
-    """Learn any newer decision that another control has."""
+    """Learn any newer decision of other controls."""
     local = state.peers.local
     settings = state.settings
-    yield agreement.found(state.peers, settings.own_founder, settings.founders)
+    yield agreement.check_founding(state.peers, settings.own_founder, settings.founders)
     if local.accepted is not None:
-        # Its proposer may have died between accept and learn; followers get
-        # no assurance from this instance until the round is finished.
+        # Its proposer may have failed between accept and learn; this instance
+        # cannot confirm its document until the round is completed.
         yield agreement.read(state.peers)
     revisions = state.peer_revision_by_address
-    addresses = state.peers.everyone()
+    addresses = state.peers.known_addresses()
     calls = [
         state.links.to(*address).call(
             "view",
@@ -335,38 +340,39 @@
         for address in addresses
     ]
     results = yield defer.DeferredList(calls, consumeErrors=True)
-    for address, (ok, shown) in zip(addresses, results, strict=True):
+    for address, (ok, reply) in zip(addresses, results, strict=True):
         if ok:
-            take_view(state, address, shown)
-        elif not shown.check(errors.WireError):
-            log.error("catch_up_failed", error=str(shown.value))
+            merge_view(state, address, reply)
+        elif not reply.check(errors.WireError):
+            log.error("catch_up_failed", error=str(reply.value))
 
 
-def take_view(state, address, shown):
-    """Take in what the control at *address* showed."""
-    state.peer_revision_by_address[address] = shown.revision
-    state.controls.show(shown.members, state.clock.now())
-    if shown.document is None:
+def merge_view(state, address, reply):
+    """Process *reply*, the ``View`` of the control at *address*."""
+    state.peer_revision_by_address[address] = reply.revision
+    state.controls.record_listed(reply.members, state.clock.now())
+    if reply.document is None:
         return
-    if state.peers.local.take(acceptors.Decision.from_message(shown.document)):
+    if state.peers.local.commit(acceptors.Decision.from_message(reply.document)):
         state.counters.incr("caught_up")
 
 
 @defer.inlineCallbacks
 def announce(state):
-    """Tell every known control that this one is there, and itself as a member."""
-    own = state.controls
+    """Send a heartbeat to every known control and register itself as a member."""
+    controls = state.controls
     if state.peers.local.unfounded:
-        # It may be about to become the founder at this address. The others
-        # took it for that founder's successor and made it a voter under an
-        # id that was gone a moment later: one loss more stopped all changes.
+        # This instance may be about to become the founder at this address.
+        # Announced before that, it was taken for that founder's replacement and
+        # made a voter under an id that it gave up a moment later; then one more
+        # failure stopped all changes.
         return
-    own.own = attrs.evolve(own.own, node_id=state.peers.local.node_id)
-    beat = own.beat(state.peers.local.committed)
-    state.membership.renew(beat, state.clock.now())
+    controls.own = attrs.evolve(controls.own, node_id=state.peers.local.node_id)
+    heartbeat = controls.to_heartbeat(state.peers.local.committed)
+    state.membership.renew(heartbeat, state.clock.now())
     calls = [
-        state.links.to(*address).call("heartbeat", beat)
-        for address in state.peers.everyone()
+        state.links.to(*address).call("heartbeat", heartbeat)
+        for address in state.peers.known_addresses()
     ]
     results = yield defer.DeferredList(calls, consumeErrors=True)
     for ok, failure in results:
@@ -376,7 +382,7 @@
 
 @defer.inlineCallbacks
 def mend_voters(state):
-    """Propose another set of voters where the present one should change."""
+    """Propose another set of voters if the current one should change."""
     local = state.peers.local
     now = state.clock.now()
 
@@ -384,39 +390,40 @@
         return state.controls.silent_ms(node_id, now)
 
     voting = local.committed.voters
-    if not local.votes or not voters.is_turn(local.node_id, voting, silent_ms):
+    if not local.votes or not voters.is_proposer(local.node_id, voting, silent_ms):
         return
-    waiting = state.controls.waiting(local.committed, now)
-    following = voters.next_set(list(voting), waiting, silent_ms)
-    if following is None:
+    candidates = state.controls.candidates(local.committed, now)
+    next_voters = voters.next_set(list(voting), candidates, silent_ms)
+    if next_voters is None:
         return
-    done = yield agreement.change_voters(state.peers, following)
+    done = yield agreement.change_voters(state.peers, next_voters)
     state.counters.incr("voters_changed" if done else "voters_kept")
     log.info(
         "voters_change",
         done=done,
         round=local.committed.round,
         before=[v.node_id for v in voting],
-        after=[v.node_id for v in following],
+        after=[v.node_id for v in next_voters],
         silent_ms={v.node_id: silent_ms(v.node_id) for v in voting},
-        waiting=[v.node_id for v in waiting],
+        waiting=[v.node_id for v in candidates],
     )
 
 
 def expire(state):
-    """Drop members whose lease ran out."""
+    """Drop members whose lease expired."""
     expired = state.membership.expire(state.clock.now())
     for endpoint_id in expired:
         log.info("lease_ended", endpoint_id=endpoint_id)
     if expired:
-        state.changed()
+        state.answer_polls()
 
 
-def every(reactor, interval_ms, func, *args):
+def run_every(reactor, interval_ms, func, *args):
     """Run *func* every *interval_ms* until the reactor stops.
 
-    A loop of the library's ends for good with the first failure: one full
-    disk, and the instance would never catch up again.
+    Failures are logged and do not end the loop. A plain ``LoopingCall`` stops at the
+    first failure: after one write to a full disk the instance would never catch up
+    again.
     """
 
     def failed(failure):
@@ -432,13 +439,13 @@
 
 
 def run(reactor, settings, counters):
-    """Start a control instance; returns its state."""
+    """Start a control instance; returns its ``State``."""
     state = State.from_config(settings, reactor, counters)
     rpc.serve(reactor, Control.Processor(Handler(state)), settings.port, settings.host)
-    every(reactor, discovery.ANNOUNCE_MS, announce, state)
-    every(reactor, discovery.ANNOUNCE_MS, catch_up, state)
-    every(reactor, discovery.ANNOUNCE_MS, mend_voters, state)
-    every(reactor, EXPIRE_MS, expire, state)
+    run_every(reactor, discovery.ANNOUNCE_MS, announce, state)
+    run_every(reactor, discovery.ANNOUNCE_MS, catch_up, state)
+    run_every(reactor, discovery.ANNOUNCE_MS, mend_voters, state)
+    run_every(reactor, EXPIRE_INTERVAL_MS, expire, state)
     local = state.peers.local
     log.info(
         "started",
--- a/dunlinpoint/control/tests/test_agreement.py
+++ b/dunlinpoint/control/tests/test_agreement.py
@@ -1,4 +1,4 @@
-"""Agreement on document versions among acceptors, with links we can cut."""
+"""Agreement on document versions among acceptors, with cut links."""
 
 from dunlinpoint.config import packed
 from dunlinpoint.control import acceptor
@@ -17,10 +17,10 @@
     assert versions(net) == [1, 1, 1]
 
 
-def test_racing_operators_on_one_version_get_one_winner(tmp_path):
-    # Symptom: two operators both see version 1 accepted for different
-    # documents. Sequence: both write against version 0 at different control
-    # instances. Cause would be a compare-and-set checked only locally.
+def test_one_of_two_concurrent_changes_of_a_version_wins(tmp_path):
+    # Failure: two operators, both changing version 0 at different control
+    # instances, have different documents accepted as version 1, because the
+    # compare-and-set is checked only locally.
     net = cluster.make(tmp_path)
     first = net.propose("c0", 0, "alice", '{"a": 1}')
     second = net.propose("c1", 0, "bob", '{"b": 1}')
@@ -30,11 +30,10 @@
 
 
 def test_interleaved_proposers_keep_the_accepted_document(tmp_path):
-    # Symptom: a version is committed with two different documents.
-    # Sequence: proposer A gets promises and its document accepted by one
-    # acceptor only; proposer B then runs a full round for the same version.
-    # Cause would be B proposing its own document instead of the one
-    # already accepted under a lower ballot.
+    # Failure: a version is committed with two different documents. Proposer A
+    # gets promises and its document accepted by one acceptor only; proposer B
+    # then runs a full round for the same version and proposes its own document
+    # instead of the one already accepted under a lower ballot.
     net = cluster.make(tmp_path)
     first = net.by_host["c0"]
     ballot = first.next_ballot()
@@ -59,8 +58,8 @@
 
 
 def test_minority_cannot_commit(tmp_path):
-    # Symptom: a control cut off with no peer accepts a new document, which
-    # the majority later contradicts. Cause would be acting without quorum.
+    # Failure: an isolated control accepts a new document without a quorum, and
+    # the majority later commits another one.
     net = cluster.make(tmp_path)
     net.cut("c0")
     outcome = net.propose("c0", 0, "lonely", "{}")
@@ -78,18 +77,18 @@
     assert reloaded.version_of("c1") == 1
 
 
-def test_learning_never_goes_back(tmp_path):
+def test_an_older_decision_is_not_committed(tmp_path):
     node = cluster.make(tmp_path).by_host["c0"]
     voting = node.committed.voters
-    assert node.take(acceptor.Decision(5, 5, "five", packed.EMPTY, voting))
-    assert not node.take(acceptor.Decision(3, 3, "three", packed.EMPTY, voting))
+    assert node.commit(acceptor.Decision(5, 5, "five", packed.EMPTY, voting))
+    assert not node.commit(acceptor.Decision(3, 3, "three", packed.EMPTY, voting))
     assert node.committed.version == 5
 
 
-def test_a_state_file_of_before_rounds_is_read(tmp_path):
-    # Symptom: after an upgrade a control forgets its document, or votes
-    # under another name. Sequence: a state file that knows versions only
-    # is read. Cause guarded against: a new field without a value for it.
+def test_a_state_file_without_rounds_is_upgraded(tmp_path):
+    # Failure: after an upgrade a control loses its document or votes under
+    # another id, because its state file has versions but no rounds and a newer
+    # field gets no value.
     net = cluster.make(tmp_path)
     own = net.founders[0]
     old = {
--- a/dunlinpoint/control/tests/test_reports.py
+++ b/dunlinpoint/control/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""How a control passes on what entries saw of requests that endpoints ended under."""
+"""Crash reports, passed on by a control from entries to its followers."""
 
 import pytest
 from twisted.internet import task
@@ -21,26 +21,26 @@
 
 
 def poll(control, reports_known, wait_ms=800):
-    """A follower's poll that knows the members and the document."""
+    """A poll of a follower that knows the members and the document."""
     _, state, handler = control
-    asked = "z", state.membership.revision, 1 << 62, wait_ms, False, ""
-    return handler.view(*asked, reports_known)
+    query = "z", state.membership.revision, 1 << 62, wait_ms, False, ""
+    return handler.view(*query, reports_known)
 
 
-def test_a_report_answers_the_polls_that_wait(control):
-    # Symptom feared: an entry hears of an end after its poll, when the request has come
-    # back to it.
+def test_a_report_answers_waiting_polls(control):
+    # Failure: an entry learns of a crash only after its poll ends, when the request
+    # has already been sent to it again.
     reactor, state, handler = control
     waiting = poll(control, state.suspects.revision)
     reactor.advance(0.1)
     assert not waiting.called
     handler.report([REPORT])
-    shown = waiting.result
-    assert [(r.digest, r.life) for r in shown.reports] == [(REPORT.digest, "life")]
-    assert shown.reports_revision == state.suspects.revision
+    reply = waiting.result
+    assert [(r.digest, r.life) for r in reply.reports] == [(REPORT.digest, "life")]
+    assert reply.reports_revision == state.suspects.revision
 
 
-def test_what_is_known_already_answers_nobody(control):
+def test_a_known_report_answers_no_poll(control):
     reactor, state, handler = control
     handler.report([REPORT])
     waiting = poll(control, state.suspects.revision)
@@ -49,16 +49,16 @@
     assert not waiting.called
 
 
-def test_an_entry_that_starts_is_told_all(control):
+def test_a_new_entry_gets_all_reports(control):
     _, _, handler = control
     handler.report([REPORT])
-    shown = poll(control, NOTHING_KNOWN).result
-    assert [r.life for r in shown.reports] == ["life"]
+    reply = poll(control, NOTHING_KNOWN).result
+    assert [r.life for r in reply.reports] == ["life"]
 
 
-def test_followers_that_want_no_reports_get_none(control):
-    # Agents follow as well, on links of a few Mbit/s.
+def test_followers_without_interest_in_reports_get_none(control):
+    # Agents are followers too, on links of a few Mbit/s.
     _, _, handler = control
     handler.report([REPORT])
-    shown = poll(control, None, wait_ms=0).result
-    assert shown.reports is None and shown.reports_revision is None
+    reply = poll(control, None, wait_ms=0).result
+    assert reply.reports is None and reply.reports_revision is None
--- a/dunlinpoint/follow/controls.py
+++ b/dunlinpoint/follow/controls.py
@@ -1,10 +1,11 @@
-"""Which control instances are followed, and what they vouch for.
-
-All that are known are followed: endpoints announce themselves to any of
-them. A follower is told some addresses at its start (the seeds) and learns
-the others from any that answers: the voters come with the document, the rest
-are members like endpoints are. Once it knows some, it asks the seeds again only
-when nobody else has answered for a while; a seed may long be another machine.
+"""The control instances that a follower polls, and when they confirmed the document.
+
+All known instances are polled, as endpoints announce themselves to any of them.
+A follower is configured with some addresses (the seeds) and learns the others
+from any instance that answers: the voters are part of the document, the rest are
+members like endpoints. Once it knows some, it polls the seeds again only after
+no instance has answered for a while, as a seed's address may have been reassigned
+to another machine.
 """
 
 import attrs
@@ -14,16 +15,16 @@
 from dunlinpoint.wire.gen.dunlin import Control
 
 CONTROL_TIMEOUT_MS = 1000
-# After so long without any answer, the seeds are asked as well.
-LOST_MS = 3000
+# After this time without any answer, the seeds are polled as well.
+SEED_FALLBACK_MS = 3000
 
 
 @attrs.define(eq=False)
-class Follow:
-    """One control instance as this process follows it.
+class FollowedControl:
+    """The polling state of one control instance.
 
-    *confirmed_ms* is when it last held nothing newer than what we hold;
-    *reports_revision* names the reports on requests that it has told.
+    *confirmed_ms* is the last time at which it held no newer document than this
+    process; *reports_revision* is that of the last crash reports received from it.
     """
 
     link: rpc.Link
@@ -33,14 +34,14 @@
     answered_ms: int | None = None
     node_id: str = ""
     zone: str | None = None
-    asks_bodies: bool = False
+    requests_bodies: bool = False
     reports_revision: int = 0
-    wanted: bool = True
+    is_active: bool = True
 
 
 @attrs.define
 class Controls:
-    """Followed control instances by address."""
+    """Polled control instances by address, a (host, port)."""
 
     reactor: object
     seeds: list
@@ -48,47 +49,47 @@
     followed_by_address: dict = attrs.field(factory=dict)
 
     def answered_ms(self):
-        """When any of them last answered, or ``None``."""
+        """The time of the last answer of any instance, or ``None``."""
         times = [f.answered_ms for f in self.followed_by_address.values()]
         return max((t for t in times if t is not None), default=None)
 
     def all(self):
-        """Every ``Follow`` there is."""
+        """All ``FollowedControl`` objects."""
         return self.followed_by_address.values()
 
     def update(self, known, now):
-        """Follow the addresses *known*, drop others; the new ``Follow`` ones."""
+        """Poll only the addresses *known*; returns the new ``FollowedControl`` list."""
         answered_ms = self.answered_ms()
         last_ms = self.started_ms if answered_ms is None else answered_ms
         wanted = set(known)
-        if not wanted or now - last_ms > LOST_MS:
+        if not wanted or now - last_ms > SEED_FALLBACK_MS:
             wanted |= set(self.seeds)
         for address in [a for a in self.followed_by_address if a not in wanted]:
-            follow = self.followed_by_address.pop(address)
-            follow.wanted = False
-            follow.link.close()
+            followed = self.followed_by_address.pop(address)
+            followed.is_active = False
+            followed.link.close()
         added = []
         for host, port in sorted(wanted - set(self.followed_by_address)):
             link = rpc.Link(
                 self.reactor, host, port, Control.Client, CONTROL_TIMEOUT_MS
             )
-            follow = self.followed_by_address[host, port] = Follow(link)
-            added.append(follow)
+            followed = self.followed_by_address[host, port] = FollowedControl(link)
+            added.append(followed)
         return added
 
     def confirmed_ms(self, voting):
-        """When a majority of *voting* last held nothing newer, or ``None``.
+        """The last time a majority of *voting* held no newer document, or ``None``.
 
-        Whoever answers at a voter's address under another id has an empty
-        disk, and vouches for nothing the voter may have accepted.
+        An instance that answers at a voter's address under another id started with
+        an empty disk and does not hold what that voter may have accepted.
         """
         times = []
         for voter in voting:
-            follow = self.followed_by_address.get(voter.address)
-            if follow is None or follow.node_id != voter.node_id:
+            followed = self.followed_by_address.get(voter.address)
+            if followed is None or followed.node_id != voter.node_id:
                 continue
-            if follow.confirmed_ms is not None:
-                times.append(follow.confirmed_ms)
+            if followed.confirmed_ms is not None:
+                times.append(followed.confirmed_ms)
         needed = voters.majority(voting)
         if not voting or len(times) < needed:
             return None
--- a/dunlinpoint/follow/view.py
+++ b/dunlinpoint/follow/view.py
@@ -1,18 +1,18 @@
-"""What a follower knows of the deployment: members and the document in force.
-
-It follows every control instance by long polls: each answers at once when it
-knows something the follower does not, and otherwise after ``wait_ms``.
-
-- A member is live while some control still vouches for its lease. When no
-  control has answered for a whole lease, the follower is the one cut off: it
-  keeps the members it last knew and finds out by trying them.
-- The document is that of the highest round any control has shown: an isolated
-  control showing an older one cannot make the follower go back.
-- ``confirmed_ms`` is the last moment at which a majority of the voters are
-  known to have held no newer document. Every accepted document is held by a
-  majority of them before its operator hears of it, so one of those asked
-  would have shown it. Work that a newer document may have forbidden (a key
-  taken away) is refused once that moment is too long ago.
+"""A follower's view of the deployment: members and the document in force.
+
+It long-polls every control instance: each answers at once if it knows something
+that the follower does not, and otherwise after ``wait_ms``.
+
+- A member is live while some control lists it with a valid lease. If no control has
+  answered for a whole lease, the follower itself is partitioned: it keeps the
+  last known members, and requests to them show which ones can be reached.
+- The document is that of the highest round received from any control, so an
+  isolated control with an older one cannot revert it.
+- ``confirmed_ms`` is the last time at which a majority of the voters are known to
+  have held no newer document. Every accepted document is held by a majority of
+  them before it is acknowledged to its operator, so one of those polled would
+  have returned it. Work that a newer document may have forbidden (a revoked key)
+  is refused once that time is too long ago.
 """
 
 from __future__ import annotations
@@ -29,46 +29,52 @@
 
 log = logs.logger("follow")
 
-# The longest a control holds a poll. It bounds how often an idle entry asks
-# (bytes between zones) and how old ``confirmed_ms`` can grow in calm times.
+# The longest time a control holds a poll. It bounds the poll rate of an idle entry
+# (traffic between zones) and the age of ``confirmed_ms`` while nothing changes.
 WAIT_MS = 800
-# The pause between polls of one control, so that a stream of changes is
-# taken in batches.
-PAUSE_MS = 50
+# The interval between polls of one control, so that frequent changes are received
+# in batches.
+POLL_INTERVAL_MS = 50
 RETRY_MS = 300
-# The revision of no list: whoever is asked with it lists all members.
+# The revision of no list: a control polled with it returns all members.
 NO_REVISION = 0
-# How often it is looked whose lease has run out.
-FORGET_MS = 50
-# How often it is looked whether other controls are to be followed.
-FOLLOW_MS = 250
-# The pause of a follower that was told of a newer document and does not want it yet:
-# it would be told again at once.
-HINTED_PAUSE_MS = 300
-# How long an entry waits for a new document from its own zone's control
-# before it asks another zone's for it.
-OTHER_ZONE_PAUSE_MS = 120
-# When no control has shown as many entries for so long, there are fewer: controls
-# forget one after 4 s.
-FEWER_ENTRIES_MS = 5000
+# The interval between checks for expired leases.
+EXPIRE_INTERVAL_MS = 50
+# The interval between updates of the set of polled controls.
+CONTROLS_UPDATE_MS = 250
+# The poll interval of a follower that was notified of a newer document but delays
+# fetching it: the next poll would be answered at once with the same notification.
+DELAYED_BODY_POLL_MS = 300
+# How long an entry waits for a new document from its own zone's control before it
+# requests it from another zone's.
+OTHER_ZONE_POLL_MS = 120
+# The number of entries is reduced only after no control has reported as many for
+# this time: controls drop an entry 4 s after its last poll.
+ENTRY_COUNT_HOLD_MS = 5000
 
 
 @attrs.define
-class Seen:
-    """One member as last shown, and until when it is vouched for."""
+class KnownMember:
+    """A member as last received, and the end of its longest lease at any control."""
 
     member: ttypes.Member
     expires_ms: int
 
 
-def shape(member):
-    """What of a member a choice among members depends on."""
-    return *membership.routed(member), member.load, member.group, member.engine
+def selection_fields(member):
+    """The fields of a member that the choice among members depends on."""
+    return *membership.routing_fields(member), member.load, member.group, member.engine
 
 
 @attrs.define
 class View:
-    """Members by endpoint id, and the document in force."""
+    """Members by endpoint id, and the document in force.
+
+    The callables in ``on_document`` are called with each new document, those in
+    ``on_reports`` with a list of crash reports, those in ``on_change`` without
+    arguments after each answer of a control. Times (``_ms``) are of this process's
+    clock.
+    """
 
     clock: clock.Clock
     zone: str
@@ -84,142 +90,146 @@
     wants_reports: bool = False
     wait_ms: int = WAIT_MS
     min_body_interval_ms: int = 0
-    body_ms: int | None = None
+    body_received_ms: int | None = None
     lease_ms: int = 0
     follower: str = ""
     zone_index: int = 0
     zone_entries: int = 1
     entry_index: int = 0
     entry_count: int = 1
-    entries_ms: int = 0
+    entry_count_ms: int = 0
     generation: int = 0
-    forgot_ms: int = 0
+    last_expiry_ms: int = 0
     live_by_kind: dict = attrs.field(factory=dict)
 
     @classmethod
     def from_config(cls, reactor, zone, seeds):
-        """A view fed by the controls that *seeds* (``[(host, port)]``) lead to."""
+        """A view of the deployment with the controls *seeds* (``[(host, port)]``)."""
         ms_clock = clock.Clock(reactor)
         return cls(
             ms_clock, zone, controls.Controls(reactor, list(seeds), ms_clock.now())
         )
 
-    def merge(self, follow, shown, asked_ms):
-        """Take in one control's ``View``, asked for at *asked_ms*."""
-        self._merge(follow, shown, asked_ms)
-        for hear in self.on_change:
-            hear()
+    def merge(self, followed, reply, requested_ms):
+        """Merge *reply*, a control's ``View`` that was requested at *requested_ms*."""
+        self._merge(followed, reply, requested_ms)
+        for callback in self.on_change:
+            callback()
 
-    def _merge(self, follow, shown, asked_ms):
+    def _merge(self, followed, reply, requested_ms):
         now = self.clock.now()
-        self.lease_ms = shown.lease_ms
-        follow.answered_ms = now
-        follow.zone = shown.zone
-        follow.node_id = shown.node_id
-        if shown.places and (shown.zone == self.zone or self.zone_entries == 1):
-            self.zone_index, self.zone_entries = shown.place, shown.places
-        self._count_entries(shown, now)
-        if shown.unchanged:
-            self._renew(follow, now + shown.lease_ms)
+        self.lease_ms = reply.lease_ms
+        followed.answered_ms = now
+        followed.zone = reply.zone
+        followed.node_id = reply.node_id
+        if reply.places and (reply.zone == self.zone or self.zone_entries == 1):
+            self.zone_index, self.zone_entries = reply.place, reply.places
+        self._update_entry_position(reply, now)
+        if reply.unchanged:
+            self._extend_leases(followed, now + reply.lease_ms)
         else:
-            follow.revision = shown.revision
-            if shown.partial:
-                if shown.dropped:
-                    self._drop(follow, shown.dropped, now)
-                self._renew(follow, now + shown.lease_ms)
+            followed.revision = reply.revision
+            if reply.partial:
+                if reply.dropped:
+                    self._drop(followed, reply.dropped, now)
+                self._extend_leases(followed, now + reply.lease_ms)
             else:
-                follow.member_ids.clear()
-            for member in shown.members:
-                follow.member_ids.add(member.endpoint_id)
-                self._take(member, now + member.lease_left_ms)
-        if shown.reports_revision is not None:
-            follow.reports_revision = shown.reports_revision
-        if shown.reports:
-            for hear in self.on_reports:
-                hear(shown.reports)
-        document = shown.document
+                followed.member_ids.clear()
+            for member in reply.members:
+                followed.member_ids.add(member.endpoint_id)
+                self._update_member(member, now + member.lease_left_ms)
+        if reply.reports_revision is not None:
+            followed.reports_revision = reply.reports_revision
+        if reply.reports:
+            for callback in self.on_reports:
+                callback(reply.reports)
+        document = reply.document
         if document is None or document.round <= self.document.round:
-            follow.asks_bodies = follow.zone == self.zone
+            followed.requests_bodies = followed.zone == self.zone
         elif document.body is None:
-            # Vouching for what is older than this would be false.
-            follow.asks_bodies = self.wants_body()
+            # This control holds a newer document than the one in force here, so
+            # ``confirmed_ms`` must not advance.
+            followed.requests_bodies = self.wants_body()
             return
         else:
-            self.body_ms = now
-            self._enforce(document)
-        if shown.settled:
-            follow.confirmed_ms = asked_ms
+            self.body_received_ms = now
+            self._apply_document(document)
+        if reply.settled:
+            followed.confirmed_ms = requested_ms
 
-    def _count_entries(self, shown, now):
-        """Take in which of how many entries this one is, of all zones.
+    def _update_entry_position(self, reply, now):
+        """Update this entry's position among the entries of all zones.
 
-        A control that has just started, or is cut off, knows of fewer than there are.
+        A control that has just started, or is partitioned, knows too few of them.
         """
-        fewer = (shown.entries or 0) < self.entry_count
-        if shown.entries and (not fewer or now - self.entries_ms > FEWER_ENTRIES_MS):
-            self.entry_index, self.entry_count = shown.entry, shown.entries
-            self.entries_ms = now
+        fewer = (reply.entries or 0) < self.entry_count
+        if reply.entries and (
+            not fewer or now - self.entry_count_ms > ENTRY_COUNT_HOLD_MS
+        ):
+            self.entry_index, self.entry_count = reply.entry, reply.entries
+            self.entry_count_ms = now
 
     def wants_body(self):
-        """Whether a newer document is to be sent now, or later.
+        """Whether to fetch the body of a newer document now.
 
-        A document of 1,400 routes is 51 KB, a tenth of a second of a link of 4 Mbit/s.
-        With one each 0.3 s, from two controls, a lead's link was full, and its change
-        of map took 2.8 s. ``min_body_interval_ms`` spares that to who needs little of
-        it.
+        A document of 1,400 routes is 51 KB, which takes 0.1 s on a link of 4 Mbit/s.
+        With one every 0.3 s from each of two controls, a group leader's link was
+        saturated, and its map switch took 2.8 s. ``min_body_interval_ms`` limits the
+        rate for followers that need little of the document.
         """
-        if self.body_ms is None:
+        if self.body_received_ms is None:
             return True
-        return self.clock.now() - self.body_ms >= self.min_body_interval_ms
+        return self.clock.now() - self.body_received_ms >= self.min_body_interval_ms
 
-    def _drop(self, follow, endpoint_ids, now):
-        """*follow* vouches for *endpoint_ids* no longer; some other may."""
-        follow.member_ids.difference_update(endpoint_ids)
+    def _drop(self, followed, endpoint_ids, now):
+        """Expire members dropped by *followed* that no other control has listed."""
+        followed.member_ids.difference_update(endpoint_ids)
         listed = set().union(*(f.member_ids for f in self.controls.all()))
         for endpoint_id in set(endpoint_ids) - listed:
-            seen = self.by_id.get(endpoint_id)
-            if seen is not None:
-                seen.expires_ms = min(seen.expires_ms, now)
-
-    def _renew(self, follow, expires_ms):
-        """All that *follow* listed, and did not drop since, is as it was.
-
-        Members of its list that were dropped meanwhile must be listed again. After
-        a cut, the first control to answer has those dropped that only others vouch
-        for; one of these whose list had not changed then said so, and an entry went
-        on without any endpoint for as long as nothing changed (17 s seen).
+            known = self.by_id.get(endpoint_id)
+            if known is not None:
+                known.expires_ms = min(known.expires_ms, now)
+
+    def _extend_leases(self, followed, expires_ms):
+        """Extend the leases of all members that *followed* has listed and not dropped.
+
+        If some were dropped here meanwhile, the complete list is requested again.
+        After a partition, the first control to answer causes members to be dropped
+        that only other controls list. When one of those then answered that its list
+        was unchanged, the members stayed missing, and an entry had no endpoint until
+        the next change (17 s).
         """
-        for endpoint_id in follow.member_ids:
-            seen = self.by_id.get(endpoint_id)
-            if seen is not None:
-                seen.expires_ms = expires_ms
+        for endpoint_id in followed.member_ids:
+            known = self.by_id.get(endpoint_id)
+            if known is not None:
+                known.expires_ms = expires_ms
             else:
-                follow.revision = NO_REVISION
+                followed.revision = NO_REVISION
 
-    def _enforce(self, document):
-        """Put a newer *document* in force, and follow its voters."""
+    def _apply_document(self, document):
+        """Put a newer *document* in force, with its voters."""
         changed = document.version != self.document.version
         self.document = document
         self.voting = [voters.Voter.from_message(v) for v in document.voters]
         if not changed:
             return
         log.info("document_in_force", version=document.version, round=document.round)
-        for hear in self.on_document:
-            hear(document)
+        for callback in self.on_document:
+            callback(document)
 
-    def _take(self, member, expires_ms):
-        seen = self.by_id.get(member.endpoint_id)
-        if seen is None:
-            self.by_id[member.endpoint_id] = Seen(member, expires_ms)
+    def _update_member(self, member, expires_ms):
+        known = self.by_id.get(member.endpoint_id)
+        if known is None:
+            self.by_id[member.endpoint_id] = KnownMember(member, expires_ms)
             self._changed()
-        elif membership.age(member) >= membership.age(seen.member):
-            if shape(member) != shape(seen.member):
+        elif membership.recency(member) >= membership.recency(known.member):
+            if selection_fields(member) != selection_fields(known.member):
                 self._changed()
-            seen.member = member
-            seen.expires_ms = max(seen.expires_ms, expires_ms)
+            known.member = member
+            known.expires_ms = max(known.expires_ms, expires_ms)
 
-    def _forget(self, now):
-        """Drop members nobody vouches for, while some control answers."""
+    def _drop_expired(self, now):
+        """Drop members without a valid lease, unless no control answers."""
         answered_ms = self.controls.answered_ms()
         if answered_ms is None or answered_ms < now - self.lease_ms:
             return
@@ -232,87 +242,85 @@
         self.live_by_kind = {}
 
     def live(self, kind):
-        """Members of *kind* that take new work."""
+        """Members of *kind* that accept new requests (not draining, not gone)."""
         now = self.clock.now()
-        if now - self.forgot_ms >= FORGET_MS:
-            self.forgot_ms = now
-            self._forget(now)
+        if now - self.last_expiry_ms >= EXPIRE_INTERVAL_MS:
+            self.last_expiry_ms = now
+            self._drop_expired(now)
         live = self.live_by_kind.get(kind)
         if live is None:
             live = self.live_by_kind[kind] = [
-                seen.member
-                for seen in self.by_id.values()
-                if not seen.member.draining
-                and not seen.member.gone
-                and seen.member.kind == kind
+                known.member
+                for known in self.by_id.values()
+                if not known.member.draining
+                and not known.member.gone
+                and known.member.kind == kind
             ]
         return live
 
     def set_seeds(self, seeds):
-        """Take *seeds* in the place of those told before."""
+        """Replace the seeds by *seeds*, a sequence of (host, port)."""
         self.controls.seeds = list(seeds)
 
     def endpoints(self):
         """All known members that are endpoints."""
-        members = [seen.member for seen in self.by_id.values()]
+        members = [known.member for known in self.by_id.values()]
         return [m for m in members if m.kind != discovery.KIND]
 
     @property
     def confirmed_ms(self):
-        """When a majority of the voters last held nothing newer, or ``None``."""
+        """The last time a majority of voters held no newer document, or ``None``."""
         return self.controls.confirmed_ms(self.voting)
 
     @defer.inlineCallbacks
-    def poll(self, follow):
-        """Ask one control once; the pause before the next poll, in ms."""
-        asked_ms = self.clock.now()
-        follow.asks_bodies = follow.asks_bodies and self.wants_body()
+    def poll(self, followed):
+        """Poll one control; a Deferred of the delay before its next poll, in ms."""
+        requested_ms = self.clock.now()
+        followed.requests_bodies = followed.requests_bodies and self.wants_body()
         try:
-            shown = yield follow.link.call(
+            reply = yield followed.link.call(
                 "view",
                 self.zone,
-                follow.revision,
+                followed.revision,
                 self.document.round,
                 self.wait_ms,
-                follow.asks_bodies,
+                followed.requests_bodies,
                 self.follower,
-                follow.reports_revision if self.wants_reports else None,
+                followed.reports_revision if self.wants_reports else None,
                 True,
                 timeout_ms=self.wait_ms + controls.CONTROL_TIMEOUT_MS,
             )
         except errors.WireError:
-            # A connection that went silent answers nothing until it is
-            # closed: reopened, the next poll finds out whether the control
-            # is there.
-            follow.link.close()
+            # A connection can stop delivering answers without being reset. The
+            # next poll opens a new one, which shows whether the control is up.
+            followed.link.close()
             return RETRY_MS
-        # A long poll that changed nothing vouches for the moment it was
-        # answered; one answered at once, for the moment it was asked. The
-        # earlier of the two is always true.
-        self.merge(follow, shown, asked_ms)
-        hinted = shown.document is not None and shown.document.body is None
-        if not hinted:
-            return PAUSE_MS
-        return OTHER_ZONE_PAUSE_MS if self.wants_body() else HINTED_PAUSE_MS
+        # An answer without changes is valid as of its arrival, an immediate one as
+        # of the request. The time of the request holds in both cases.
+        self.merge(followed, reply, requested_ms)
+        body_omitted = reply.document is not None and reply.document.body is None
+        if not body_omitted:
+            return POLL_INTERVAL_MS
+        return OTHER_ZONE_POLL_MS if self.wants_body() else DELAYED_BODY_POLL_MS
 
     def follow(self, reactor):
         """Poll every known control until the reactor stops."""
         known = {v.address for v in self.voting}
         known |= {(m.host, m.port) for m in self.live(discovery.KIND)}
-        for follow in self.controls.update(known, self.clock.now()):
-            self._next(follow, 0)
-        self.clock.call_later(FOLLOW_MS, self.follow, reactor)
+        for followed in self.controls.update(known, self.clock.now()):
+            self._schedule_poll(followed, 0)
+        self.clock.call_later(CONTROLS_UPDATE_MS, self.follow, reactor)
 
-    def _next(self, follow, pause_ms):
-        def again(pause_ms):
-            self._next(follow, pause_ms)
+    def _schedule_poll(self, followed, delay_ms):
+        def poll_again(delay_ms):
+            self._schedule_poll(followed, delay_ms)
 
         def run():
-            if follow.wanted:
-                self.poll(follow).addCallbacks(again, failed)
+            if followed.is_active:
+                self.poll(followed).addCallbacks(poll_again, failed)
 
         def failed(failure):
             log.error("view_failed", error=failure.getErrorMessage())
-            self._next(follow, RETRY_MS)
+            self._schedule_poll(followed, RETRY_MS)
 
-        self.clock.call_later(pause_ms, run)
+        self.clock.call_later(delay_ms, run)
--- a/dunlinpoint/wire/tests/test_rpc.py
+++ b/dunlinpoint/wire/tests/test_rpc.py
@@ -1,4 +1,4 @@
-"""Links: what a failed call may look like to its caller."""
+"""Links: the errors that callers receive, and timeouts."""
 
 from thrift import Thrift
 from twisted.internet import defer, task
@@ -11,10 +11,10 @@
         return defer.fail(Thrift.TApplicationException(message="Internal error"))
 
 
-def test_a_peer_that_fails_within_is_a_wire_error():
-    # Symptom: an agent drops out of membership for good. Sequence: one
-    # heartbeat meets an internal error at control. Cause: the library's
-    # error passed through as it was, and ended the agent's heartbeat loop.
+def test_an_internal_error_of_a_peer_is_a_wire_error():
+    # Failure: an agent drops out of the membership for good, because control answers
+    # one heartbeat with an internal error and the thrift library's own error, passed
+    # through unchanged, ends the agent's heartbeat loop.
     link = rpc.Link(task.Clock(), "127.0.0.1", 1, None, 1000)
     link._connect = lambda: defer.succeed(FailingClient())
     failures = []
@@ -24,7 +24,7 @@
 
 
 class Reactor:
-    """Calls to be made later, in the order in which they were asked for."""
+    """Delayed calls in the order in which they were scheduled."""
 
     def __init__(self):
         self.calls = []
@@ -42,12 +42,12 @@
                 call.func(*call.args)
 
 
-def test_an_answer_that_waits_to_be_read_is_not_late():
-    # Symptom: a lead takes 70 ranks for silent at once and calls each one's engine;
-    # a change of map takes 2.8 s. Sequence: the process is busy for longer than the
-    # timeout; answers arrive meanwhile; timers are due before connections are read.
-    # Cause: giving up in the timer.
-    reactor, answer, heard = Reactor(), defer.Deferred(), []
+def test_an_answer_that_arrived_but_is_unread_is_not_timed_out():
+    # Failure: a group leader takes 70 ranks for unresponsive at once and calls each
+    # one's engine, and a map switch takes 2.8 s. The process is busy for longer than
+    # the timeout while answers arrive; then timers run before connections are read,
+    # so a call that fails directly in its timer ignores an answer that has arrived.
+    reactor, answer, results = Reactor(), defer.Deferred(), []
     link = rpc.Link(reactor, "127.0.0.1", 1, None, 250)
 
     class Client:
@@ -55,15 +55,15 @@
             return answer
 
     link._connect = lambda: defer.succeed(Client())
-    link.call("load").addBoth(heard.append)
+    link.call("load").addBoth(results.append)
     reactor.run_due()
     answer.callback("read after the timer")
     reactor.run_due()
-    assert heard == ["read after the timer"]
+    assert results == ["read after the timer"]
 
 
-def test_an_answer_that_never_comes_is_given_up_on():
-    reactor, heard = Reactor(), []
+def test_a_call_without_an_answer_times_out():
+    reactor, results = Reactor(), []
     link = rpc.Link(reactor, "127.0.0.1", 1, None, 250)
 
     class Client:
@@ -71,7 +71,7 @@
             return defer.Deferred()
 
     link._connect = lambda: defer.succeed(Client())
-    link.call("load").addBoth(heard.append)
+    link.call("load").addBoth(results.append)
     reactor.run_due()
     reactor.run_due()
-    assert heard[0].check(errors.OutcomeUnknown)
+    assert results[0].check(errors.OutcomeUnknown)
