--- a/dunlinpoint/agent/__init__.py
+++ b/dunlinpoint/agent/__init__.py
@@ -4,15 +4,15 @@
 orders from entries over thrift, fronts the local model engine or plain
 service over HTTP, and drains before it leaves.
 
-==============  ==========================================================
-module          contents
-==============  ==========================================================
-``streams``     buffers of streamed responses, read by offset
-``keys``        the at-most-once table of non-idempotent calls
-``calls``       calls to the plain service, and the outcomes of their keys
-``announce``    heartbeats to control, with failover between controls
-``rebalance``   computes the expert map for ranks that are one process
-``balance``     orders such a map from the engine
-``server``      the thrift handler, heartbeats, drain
-==============  ==========================================================
+==================  ==========================================================
+module              contents
+==================  ==========================================================
+``streams``         buffers of streamed responses, read by offset
+``keys``            the at-most-once table of non-idempotent calls
+``calls``           calls to the plain service, and the outcomes of their keys
+``announce``        heartbeats to control, with failover between controls
+``rebalance``       computes the expert map for ranks that are one process
+``rebalance_loop``  orders such a map from the engine
+``server``          the thrift handler, heartbeats, drain
+==================  ==========================================================
 """
--- a/dunlinpoint/agent/announce.py
+++ b/dunlinpoint/agent/announce.py
@@ -40,7 +40,7 @@
         return cls(links, list(controls), [], counters)
 
     @defer.inlineCallbacks
-    def send_heartbeat(self, beat):
+    def send_heartbeat(self, message):
         """Send the ``Heartbeat`` *beat*; its reply, or ``None`` after a failure.
 
         Sets ``controls_known`` of *beat*. After a failure the next call uses the
@@ -48,9 +48,9 @@
         """
         addresses = self.known + [a for a in self.seeds if a not in self.known]
         host, port = addresses[self.index % len(addresses)]
-        beat.controls_known = discovery.checksum(self.known)
+        message.controls_known = discovery.checksum(self.known)
         try:
-            reply = yield self.links.to(host, port).call("heartbeat", beat)
+            reply = yield self.links.to(host, port).call("heartbeat", message)
         except (errors.WireError, ttypes.Refused) as exc:
             self.counters.retried("heartbeat_failed")
             log.warning("control_lost", control=f"{host}:{port}", error=str(exc))
--- a/dunlinpoint/agent/calls.py
+++ b/dunlinpoint/agent/calls.py
@@ -76,26 +76,28 @@
     except errors.WireError:
         # Released here only: the backup may hold the outcome of an earlier
         # attempt, which the lost reply would have contained.
-        state.keys.settle(order.idempotency_key, "")
+        state.keys.record_outcome(order.idempotency_key, "")
         state.refuse("backup_unreachable")
     if not prior.state:
         return None
     # The backup's record is of an earlier attempt, which has ended or was lost:
     # this agent had no record of the key, so it isn't running the call.
     known = prior.state if prior.state == keys.DONE else keys.UNKNOWN
-    state.keys.settle(order.idempotency_key, known, prior.status, prior.body_json)
+    state.keys.record_outcome(
+        order.idempotency_key, known, prior.status, prior.body_json
+    )
     return state.keys.by_key[order.idempotency_key]
 
 
-def settle(state, order, became, status=0, body_json=""):
+def record_outcome(state, order, key_state, status=0, body_json=""):
     """Record the outcome of a call here and at the key's backup agent.
 
     *became* is the new state of the key; an empty one releases it. The backup's
     reply isn't awaited; a failure is only counted (``settle_lost``).
     """
-    state.keys.settle(order.idempotency_key, became, status, body_json)
+    state.keys.record_outcome(order.idempotency_key, key_state, status, body_json)
     if order.backup_host:
-        record = ttypes.KeyRecord(became, status, body_json)
+        record = ttypes.KeyRecord(key_state, status, body_json)
         link = state.backups.to(order.backup_host, order.backup_port)
         link.call("settle", order.idempotency_key, record).addErrback(
             lambda failure: state.counters.retried("settle_lost")
--- a/dunlinpoint/agent/keys.py
+++ b/dunlinpoint/agent/keys.py
@@ -28,17 +28,17 @@
 UNKNOWN = "unknown"
 KEEP_MS = 3_600_000
 # Finished keys that are checked for expiry at each new claim.
-SWEEP = 2
+SWEEP_COUNT = 2
 
 
 @attrs.define
 class Record:
-    """State of one key; ``at_ms`` is the time of its last change."""
+    """State of one key; ``changed_ms`` is the time of its last change."""
 
     state: str
     status: int = 0
     body_json: str = ""
-    at_ms: int = 0
+    changed_ms: int = 0
 
 
 @attrs.define
@@ -54,10 +54,10 @@
         self._sweep()
         record = self.by_key.get(key)
         if record is None:
-            self.by_key[key] = Record(RUNNING, at_ms=self.clock.now())
+            self.by_key[key] = Record(RUNNING, changed_ms=self.clock.now())
         return record
 
-    def settle(self, key, state, status=0, body_json=""):
+    def record_outcome(self, key, state, status=0, body_json=""):
         """Record the outcome of a claimed key; an empty *state* releases it."""
         if not state:
             self.by_key.pop(key, None)
@@ -68,11 +68,11 @@
 
     def _sweep(self):
         """Evict answers older than ``KEEP_MS``."""
-        for _ in range(SWEEP):
+        for _ in range(SWEEP_COUNT):
             if not self.done:
                 return
             record = self.by_key.get(self.done[0])
-            if record is not None and self.clock.now() - record.at_ms < KEEP_MS:
+            if record is not None and self.clock.now() - record.changed_ms < KEEP_MS:
                 return
             key = self.done.popleft()
             if record is not None and record.state == DONE:
--- a/dunlinpoint/agent/rebalance.py
+++ b/dunlinpoint/agent/rebalance.py
@@ -44,20 +44,20 @@
     even load.
     """
     experts = len(loads)
-    room = -(-experts // ranks)
+    capacity = -(-experts // ranks)
     totals = [0] * ranks
-    held = [0] * ranks
+    expert_counts = [0] * ranks
     placement = [0] * experts
     for expert in sorted(range(experts), key=lambda e: -loads[e]):
-        here = current[expert] if current is not None else None
+        current_rank = current[expert] if current is not None else None
 
-        def key(rank, here=here):
-            return (totals[rank], rank != here, rank)
+        def key(rank, current_rank=current_rank):
+            return (totals[rank], rank != current_rank, rank)
 
-        rank = min((r for r in range(ranks) if held[r] < room), key=key)
+        rank = min((r for r in range(ranks) if expert_counts[r] < capacity), key=key)
         placement[expert] = rank
         totals[rank] += loads[expert]
-        held[rank] += 1
+        expert_counts[rank] += 1
     return placement
 
 
@@ -86,5 +86,7 @@
         / 1000
         * HORIZON_S
     )
-    value = skew_weight * saved_ms - (1.0 - skew_weight) * count * EXPERT_MOVE_MS
-    return proposed if value > 0 else None
+    weighted_benefit_ms = (
+        skew_weight * saved_ms - (1.0 - skew_weight) * count * EXPERT_MOVE_MS
+    )
+    return proposed if weighted_benefit_ms > 0 else None
--- a/dunlinpoint/agent/balance.py
+++ b/dunlinpoint/agent/rebalance_loop.py
@@ -19,14 +19,14 @@
 DEFAULT_SKEW_WEIGHT = 0.5
 
 
-def body_of(document):
+def decode_body(document):
     """The JSON object of a ``Document`` message."""
     return json.loads(packed.unpack(document.body))
 
 
 def skew_weight(state):
     """The skew weight of this agent's group in the document in force."""
-    for group in body_of(state.document).get("groups", []):
+    for group in decode_body(state.document).get("groups", []):
         if group.get("name") == state.settings.group:
             return float(group.get("skew_weight", DEFAULT_SKEW_WEIGHT))
     return DEFAULT_SKEW_WEIGHT
@@ -38,13 +38,13 @@
 
     *old* and *new* are placements (``[rank]`` by expert). The store is limited
     to a few experts per second. A map that moves more than that would start from
-    the first expert in each attempt and never finish, so ``state.fetched`` keeps
-    the experts loaded so far until a map is ordered.
+    the first expert in each attempt and never finish, so ``state.fetched_experts``
+    keeps the experts loaded so far until a map is ordered.
     """
     if not state.settings.weights:
         return True
     for expert, (a, b) in enumerate(zip(old, new, strict=True)):
-        if a == b or (expert, b) in state.fetched:
+        if a == b or (expert, b) in state.fetched_experts:
             continue
         url = f"{state.settings.weights}/weights/{state.settings.group}/{expert}"
         response = yield treq.get(url, timeout=5)
@@ -52,7 +52,7 @@
         if response.code == 429:
             state.counters.retried("weights_rate_limited")
             return False
-        state.fetched.add((expert, b))
+        state.fetched_experts.add((expert, b))
     return True
 
 
@@ -83,7 +83,7 @@
         return
     if not (yield fetch_weights(state, placement, proposed)):
         return
-    state.fetched.clear()
+    state.fetched_experts.clear()
     state.map_version = max(state.map_version, report["map_version"]) + 1
     order = {
         "kind": "set_map",
@@ -103,7 +103,7 @@
         state.counters.refused("map_order")
 
 
-def rebalancing(reactor, state):
+def start_rebalancing(reactor, state):
     """Consider a rebalance every ``REBALANCE_MS``."""
 
     def attempt():
--- a/dunlinpoint/agent/server.py
+++ b/dunlinpoint/agent/server.py
@@ -23,7 +23,7 @@
 from zope.interface import implementer
 
 from dunlinpoint import clock, logs, metrics
-from dunlinpoint.agent import announce, balance, calls, keys, streams
+from dunlinpoint.agent import announce, calls, keys, rebalance_loop, streams
 from dunlinpoint.config import document as config
 from dunlinpoint.config import packed
 from dunlinpoint.wire import errors, rpc
@@ -35,7 +35,7 @@
 BACKUP_TIMEOUT_MS = 800
 LINGER_MS = 1500
 DRAIN_RETRY_AFTER_MS = 200
-RESUME_TRIES = 3
+RESUME_ATTEMPTS = 3
 
 
 @attrs.define
@@ -74,14 +74,14 @@
     backups: rpc.Links
     calls_in_flight: int = 0
     stopping: bool = False
-    told_to_leave: bool = False
+    listed_as_leaving: bool = False
     document: ttypes.Document = attrs.field(
         factory=lambda: ttypes.Document(0, "", packed.EMPTY)
     )
     highest_fence: int = 0
     lease_ms: int = 0
     map_version: int = 0
-    fetched: set = attrs.field(factory=set)
+    fetched_experts: set = attrs.field(factory=set)
 
     @classmethod
     def from_config(cls, settings, reactor, counters):
@@ -101,7 +101,7 @@
     @property
     def draining(self):
         """Whether new work is refused: stopping, or listed as leaving."""
-        return self.stopping or self.told_to_leave
+        return self.stopping or self.listed_as_leaving
 
     def refuse(self, reason, retry_after_ms=DRAIN_RETRY_AFTER_MS):
         """Count a refusal under *reason* and raise ``Refused`` (not executed)."""
@@ -131,7 +131,7 @@
             state.refuse("not_an_engine")
         stream = state.streams.open(order.request_id)
         state.counters.incr("started")
-        pump(self.reactor, state, order, stream)
+        feed_stream(self.reactor, state, order, stream)
         return None
 
     @defer.inlineCallbacks
@@ -140,7 +140,7 @@
         if stream is None:
             self.state.refuse("unknown_request", 0)
         if offset >= len(stream.tokens) and not stream.done:
-            changed = stream.changed()
+            changed = stream.next_change()
             timer = self.reactor.callLater(
                 clock.seconds(wait_ms), lambda: changed.called or changed.callback(None)
             )
@@ -185,10 +185,12 @@
         finally:
             state.calls_in_flight -= 1
         if not idempotent:
-            became = {"done": keys.DONE, "not_run": ""}.get(
+            key_state = {"done": keys.DONE, "not_run": ""}.get(
                 result.outcome, keys.UNKNOWN
             )
-            calls.settle(state, order, became, result.status, result.body_json)
+            calls.record_outcome(
+                state, order, key_state, result.status, result.body_json
+            )
         return result
 
     def claim(self, key):
@@ -196,24 +198,26 @@
         return calls.record_message(prior)
 
     def settle(self, key, record):
-        self.state.keys.settle(key, record.state, record.status, record.body_json)
+        self.state.keys.record_outcome(
+            key, record.state, record.status, record.body_json
+        )
 
     def lookup(self, key):
         return calls.record_message(self.state.keys.by_key.get(key))
 
 
-def pump(reactor, state, order, stream):
+def feed_stream(reactor, state, order, stream):
     """Fill *stream* from the engine, resuming after a broken connection.
 
     Without this, a dropped engine connection would truncate the caller's
     response. Engine streams can be resumed from an offset, so the agent requests
-    the rest up to ``RESUME_TRIES`` times in all before it ends the stream with an
+    the rest up to ``RESUME_ATTEMPTS`` times in all before it ends the stream with an
     error.
     """
 
     @defer.inlineCallbacks
     def run():
-        for _ in range(RESUME_TRIES):
+        for _ in range(RESUME_ATTEMPTS):
             try:
                 yield read_engine(state, order, stream)
                 return
@@ -238,7 +242,7 @@
         "prompt": order.prompt,
         "max_tokens": order.max_tokens,
         "priority": order.priority,
-        "topic": topic_of(order),
+        "topic": parse_topic(order),
         "resume_from": len(stream.tokens),
     }
     response = yield treq.post(
@@ -266,7 +270,7 @@
     stream.finish()
 
 
-def topic_of(order):
+def parse_topic(order):
     """The expert topic number in a prompt that starts with ``#<number>``, else 0."""
     head = order.prompt.split(" ", 1)[0]
     return int(head[1:]) if head.startswith("#") and head[1:].isdigit() else 0
@@ -277,7 +281,7 @@
     """Send one heartbeat and apply a newer document from its reply."""
     settings = state.settings
     host, port = settings.announced or (settings.host, settings.port)
-    beat = ttypes.Heartbeat(
+    message = ttypes.Heartbeat(
         endpoint_id=settings.endpoint_id,
         zone=settings.zone,
         host=host,
@@ -289,13 +293,13 @@
         incarnation=settings.incarnation,
         group=settings.group,
     )
-    reply = yield state.announcer.send_heartbeat(beat)
+    reply = yield state.announcer.send_heartbeat(message)
     if reply is not None:
         state.lease_ms = reply.lease_ms
-        take_document(state, reply.document)
+        apply_document(state, reply.document)
 
 
-def take_document(state, document):
+def apply_document(state, document):
     """Put *document* in force if it is newer than the current one.
 
     Also updates whether the document lists this endpoint as leaving.
@@ -304,13 +308,13 @@
         return
     state.document = document
     log.info("document_in_force", version=document.version)
-    leaving = balance.body_of(document).get("leaving", [])
-    if state.told_to_leave != (state.settings.endpoint_id in leaving):
-        state.told_to_leave = not state.told_to_leave
-        log.info("told_to_leave", leaving=state.told_to_leave)
+    leaving = rebalance_loop.decode_body(document).get("leaving", [])
+    if state.listed_as_leaving != (state.settings.endpoint_id in leaving):
+        state.listed_as_leaving = not state.listed_as_leaving
+        log.info("told_to_leave", leaving=state.listed_as_leaving)
 
 
-def heartbeats(reactor, state):
+def start_heartbeats(reactor, state):
     """Send a heartbeat every ``HEARTBEAT_MS`` until the reactor stops."""
     loop = task.LoopingCall(heartbeat, state)
     loop.clock = reactor
@@ -345,8 +349,8 @@
     rpc.serve(
         reactor, Agent.Processor(Handler(state, reactor)), settings.port, settings.host
     )
-    heartbeats(reactor, state)
+    start_heartbeats(reactor, state)
     if settings.kind == "engine":
-        balance.rebalancing(reactor, state)
+        rebalance_loop.start_rebalancing(reactor, state)
     log.info("started", endpoint_id=settings.endpoint_id, zone=settings.zone)
     return state
--- a/dunlinpoint/agent/streams.py
+++ b/dunlinpoint/agent/streams.py
@@ -15,7 +15,7 @@
 # How long an ended stream can still be read.
 KEEP_MS = 60_000
 # The oldest streams that are checked for expiry at each new one.
-SWEEP = 2
+SWEEP_COUNT = 2
 
 
 @attrs.define
@@ -42,7 +42,7 @@
         self.error = error
         self._wake()
 
-    def changed(self):
+    def next_change(self):
         """A Deferred that fires at the next change, with this stream."""
         d = defer.Deferred()
         self.waiters.append(d)
@@ -77,7 +77,9 @@
         exceed its small memory limit within hours.
         """
         now = self.clock.now()
-        for request_id, stream in list(itertools.islice(self.by_id.items(), SWEEP)):
+        for request_id, stream in list(
+            itertools.islice(self.by_id.items(), SWEEP_COUNT)
+        ):
             if stream.ended_ms is not None and now - stream.ended_ms > KEEP_MS:
                 del self.by_id[request_id]
 
--- a/dunlinpoint/cli/ctl.py
+++ b/dunlinpoint/cli/ctl.py
@@ -41,10 +41,10 @@
 
 TIMEOUT_MS = 5000
 # Number of agents that hold an idempotency key: its owner and the backup.
-KEEPERS = 2
+KEY_REPLICAS = 2
 
 
-def on_reactor(main):
+def run_on_reactor(main):
     """Run ``main(reactor)`` and exit with the code that its Deferred fires with."""
 
     @defer.inlineCallbacks
@@ -88,7 +88,7 @@
         print("valid")
 
 
-def change_id_of(text, expected):
+def derive_change_id(text, expected):
     return hashlib.sha256(f"{expected}\n{text}".encode()).hexdigest()[:24]
 
 
@@ -109,23 +109,23 @@
         except config.DocumentError as exc:
             print(f"invalid: {exc}")
             sys.exit(1)
-        change_id = self.change_id or change_id_of(body, self.expect)
-        on_reactor(lambda reactor: self.send(reactor, change_id, body))
+        change_id = self.change_id or derive_change_id(body, self.expect)
+        run_on_reactor(lambda reactor: self.send(reactor, change_id, body))
 
     @defer.inlineCallbacks
     def send(self, reactor, change_id, body):
-        links_to = links(reactor, self.controls)
-        return (yield propose(links_to, self.expect, change_id, body))
+        control_links = links(reactor, self.controls)
+        return (yield propose(control_links, self.expect, change_id, body))
 
 
 @defer.inlineCallbacks
-def propose(links_to, expected, change_id, body):
+def propose(control_links, expected, change_id, body):
     """Propose to each control in turn until one answers; fires with the exit code.
 
-    Prints the result as a line of JSON. *links_to* are the links to the controls.
+    Prints the result as a line of JSON. *control_links* are the links to the controls.
     """
     reasons = []
-    for link in links_to:
+    for link in control_links:
         try:
             result = yield link.call("apply", expected, change_id, body)
         except ttypes.Refused as refused:
@@ -151,16 +151,16 @@
     found = []
     for link in links(reactor, controls):
         try:
-            shown = yield link.call("view", "", 0, -1, 0, bodies, "", 0, False)
+            view = yield link.call("view", "", 0, -1, 0, bodies, "", 0, False)
         except errors.WireError as exc:
-            shown = exc
-        found.append((link.address, shown))
+            view = exc
+        found.append((link.address, view))
     return found
 
 
-def endpoints(shown):
+def endpoints(view):
     """The members of the ``View`` *shown* that are endpoints."""
-    return [m for m in shown.members if m.kind != discovery.KIND]
+    return [m for m in view.members if m.kind != discovery.KIND]
 
 
 @dataclass
@@ -170,18 +170,18 @@
     controls: Annotated[str, controls_flag()]
 
     def __call__(self):
-        on_reactor(self.show)
+        run_on_reactor(self.show)
 
     @defer.inlineCallbacks
     def show(self, reactor):
-        for address, shown in (yield views(reactor, self.controls)):
-            if isinstance(shown, Exception):
-                print(json.dumps({"control": address, "error": str(shown)}))
+        for address, view in (yield views(reactor, self.controls)):
+            if isinstance(view, Exception):
+                print(json.dumps({"control": address, "error": str(view)}))
                 continue
-            line = {"control": address, "id": shown.control_id}
-            line["version"] = shown.document.version
-            line["settled"] = shown.settled
-            line["members"] = len(endpoints(shown))
+            line = {"control": address, "id": view.control_id}
+            line["version"] = view.document.version
+            line["settled"] = view.settled
+            line["members"] = len(endpoints(view))
             print(json.dumps(line))
         return 0
 
@@ -193,14 +193,14 @@
     controls: Annotated[str, controls_flag()]
 
     def __call__(self):
-        on_reactor(self.members)
+        run_on_reactor(self.members)
 
     @defer.inlineCallbacks
     def members(self, reactor):
-        for address, shown in (yield views(reactor, self.controls)):
-            if isinstance(shown, Exception):
+        for address, view in (yield views(reactor, self.controls)):
+            if isinstance(view, Exception):
                 continue
-            for member in endpoints(shown):
+            for member in endpoints(view):
                 line = {"control": address, "endpoint_id": member.endpoint_id}
                 line.update(zone=member.zone, kind=member.kind)
                 line.update(draining=member.draining, version=member.config_version)
@@ -217,13 +217,13 @@
     back: Annotated[bool, cappa.Arg(long=True, default=False, help="undo the drain")]
 
     def __call__(self):
-        on_reactor(self.drain)
+        run_on_reactor(self.drain)
 
     @defer.inlineCallbacks
     def drain(self, reactor):
         """Propose a change of the newest document at any control."""
-        shown = [v for _, v in (yield views(reactor, self.controls, bodies=True))]
-        documents = [v.document for v in shown if not isinstance(v, Exception)]
+        found = [v for _, v in (yield views(reactor, self.controls, bodies=True))]
+        documents = [v.document for v in found if not isinstance(v, Exception)]
         if not documents:
             print(json.dumps({"accepted": False, "reason": "no control answers"}))
             return 1
@@ -236,9 +236,9 @@
         if not self.back:
             leaving.add(self.endpoint)
         body = config.dump(attrs.evolve(doc, leaving=sorted(leaving)))
-        change_id = change_id_of(body, newest.version)
-        links_to = links(reactor, self.controls)
-        return (yield propose(links_to, newest.version, change_id, body))
+        change_id = derive_change_id(body, newest.version)
+        control_links = links(reactor, self.controls)
+        return (yield propose(control_links, newest.version, change_id, body))
 
 
 @dataclass
@@ -249,21 +249,21 @@
     controls: Annotated[str, controls_flag()]
 
     def __call__(self):
-        on_reactor(self.outcome)
+        run_on_reactor(self.outcome)
 
     @defer.inlineCallbacks
     def outcome(self, reactor):
         """Query the two agents that hold the key."""
         members = {}
-        for _, shown in (yield views(reactor, self.controls)):
-            if not isinstance(shown, Exception):
-                members.update((m.endpoint_id, m) for m in shown.members)
+        for _, view in (yield views(reactor, self.controls)):
+            if not isinstance(view, Exception):
+                members.update((m.endpoint_id, m) for m in view.members)
         services = [m for m in members.values() if m.kind == "service"]
-        keepers = owners.owners(services, self.key)[:KEEPERS]
+        key_agents = owners.owners(services, self.key)[:KEY_REPLICAS]
         agents = rpc.Links(reactor, Agent.Client, TIMEOUT_MS)
-        for keeper in keepers:
+        for key_agent in key_agents:
             try:
-                found = yield agents.to(keeper.host, keeper.port).call(
+                found = yield agents.to(key_agent.host, key_agent.port).call(
                     "lookup", self.key
                 )
             except errors.WireError:
@@ -284,22 +284,22 @@
     controls: Annotated[str, controls_flag()]
 
     def __call__(self):
-        on_reactor(self.suspects)
+        run_on_reactor(self.suspects)
 
     @defer.inlineCallbacks
     def suspects(self, reactor):
-        for address, shown in (yield views(reactor, self.controls)):
-            if isinstance(shown, Exception):
+        for address, view in (yield views(reactor, self.controls)):
+            if isinstance(view, Exception):
                 continue
             found = registry.Registry()
-            for report in shown.reports:
+            for report in view.reports:
                 found.apply_report(report, 0)
             for digest, suspect in found.suspect_by_digest.items():
                 line = {"control": address, "digest": digest.hex()}
                 line["standing"] = suspect.suspect_status().value
                 line["age_ms_by_endpoint"] = {
-                    life: -ended_ms
-                    for life, ended_ms in suspect.ended_ms_by_incarnation.items()
+                    incarnation: -ended_ms
+                    for incarnation, ended_ms in suspect.ended_ms_by_incarnation.items()
                 }
                 print(json.dumps(line))
         return 0
@@ -317,21 +317,21 @@
             self.name = bytes.fromhex(self.digest)
         except ValueError:
             raise checks.SettingError(f"digest: {self.digest!r} is not hex") from None
-        on_reactor(self.lift)
+        run_on_reactor(self.lift)
 
     @defer.inlineCallbacks
     def lift(self, reactor):
         """Report the clearing to every control, which passes it on to the entries."""
-        told = 0
+        notified = 0
         for link in links(reactor, self.controls):
             try:
                 yield link.call("report", [ttypes.CrashReport(self.name, "", 0)])
             except errors.WireError as exc:
                 print(json.dumps({"control": link.address, "error": str(exc)}))
             else:
-                told += 1
-        print(json.dumps({"digest": self.digest, "controls_told": told}))
-        return 0 if told else 1
+                notified += 1
+        print(json.dumps({"digest": self.digest, "controls_told": notified}))
+        return 0 if notified else 1
 
 
 @dataclass
@@ -344,7 +344,7 @@
 
     def __call__(self):
         try:
-            lines = explain.story(explain.read(self.files), self.request_id)
+            lines = explain.history(explain.read(self.files), self.request_id)
         except OSError as exc:
             raise checks.SettingError(f"files: {exc}") from None
         for line in lines:
--- a/dunlinpoint/cli/daemon.py
+++ b/dunlinpoint/cli/daemon.py
@@ -73,9 +73,9 @@
         @defer.inlineCallbacks
         def stop():
             entry.lifecycle.close()
-            ends_ms = entry.clock.now() + ENTRY_DRAIN_MS
+            deadline_ms = entry.clock.now() + ENTRY_DRAIN_MS
             yield wait_idle(lambda: entry.in_flight, ENTRY_DRAIN_MS)
-            yield site.close_all(entry.clock, ends_ms)
+            yield site.close_all(entry.clock, deadline_ms)
 
         reactor.addSystemEventTrigger("before", "shutdown", stop)
         entry_app.log.info("started", zone=zone, port=port)
@@ -265,5 +265,5 @@
 
 def main(argv=None):
     """Run the daemon; exit code 2 on a bad setting."""
-    clock.steady(reactor)
+    clock.use_boot_clock(reactor)
     checks.invoke(Daemon, argv, "dunlinpoint")
--- a/dunlinpoint/cli/explain.py
+++ b/dunlinpoint/cli/explain.py
@@ -11,8 +11,8 @@
 
 # How long before a request's first line a state change may have affected it: the
 # lease of a member that has become unresponsive.
-BEFORE_S = 5.0
-BELIEFS = {
+LOOKBACK_S = 5.0
+STATE_CHANGES = {
     "member",
     "left",
     "lease_ended",
@@ -29,7 +29,7 @@
     "lines_lost",
 }
 # Endpoint signals. They also affect requests that were not sent to the endpoint.
-NOTICES = {"endpoint_limit", "endpoint_rests", "endpoint_leaves"}
+ENDPOINT_SIGNALS = {"endpoint_limit", "endpoint_rests", "endpoint_leaves"}
 
 
 @attrs.frozen
@@ -62,7 +62,7 @@
     return sorted(lines, key=lambda line: line.at_s)
 
 
-def story(lines, request_id):
+def history(lines, request_id):
     """The lines of *request_id* and the state changes that may have affected it.
 
     *lines* must be in order of time. Returns ``[]`` if no line has the id.
@@ -70,18 +70,18 @@
     own = [line for line in lines if line.fields.get("request") == request_id]
     if not own:
         return []
-    first, last = own[0].at_s - BEFORE_S, own[-1].at_s
+    first, last = own[0].at_s - LOOKBACK_S, own[-1].at_s
     tried = {line.fields.get("endpoint_id") for line in own}
     return [
         line
         for line in lines
-        if line in own or (first <= line.at_s <= last and _matters(line, tried))
+        if line in own or (first <= line.at_s <= last and _is_relevant(line, tried))
     ]
 
 
-def _matters(line, tried):
+def _is_relevant(line, tried):
     """Whether *line* may have affected a request sent to the endpoints *tried*."""
     event = line.fields.get("event")
-    if event in NOTICES:
+    if event in ENDPOINT_SIGNALS:
         return True
-    return event in BELIEFS and line.fields.get("endpoint_id") in tried | {None}
+    return event in STATE_CHANGES and line.fields.get("endpoint_id") in tried | {None}
--- a/dunlinpoint/cli/flags.py
+++ b/dunlinpoint/cli/flags.py
@@ -35,7 +35,7 @@
     """
     counted = metrics.Counters.from_config(statsd, prefix)
     if statsd:
-        counted.follow(reactor)
+        counted.start_flushing(reactor)
     if address:
         metrics.listen(reactor, counted, checks.address(address, "metrics"))
     return counted
--- a/dunlinpoint/clock.py
+++ b/dunlinpoint/clock.py
@@ -18,7 +18,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def steady(reactor):
+def use_boot_clock(reactor):
     """Make *reactor* read ``CLOCK_BOOTTIME`` instead of the wall clock.
 
     The reactor reads the wall clock by default. When an operator or NTP sets it
--- a/dunlinpoint/http_site.py
+++ b/dunlinpoint/http_site.py
@@ -3,7 +3,7 @@
 from twisted.internet import defer
 from twisted.web import server
 
-STEP_MS = 20
+POLL_INTERVAL_MS = 20
 
 
 class Site(server.Site):
@@ -25,10 +25,10 @@
         """Write no access log line."""
 
     def getResourceFor(self, request):
-        self._know(request.channel)
+        self._track(request.channel)
         return super().getResourceFor(request)
 
-    def _know(self, channel):
+    def _track(self, channel):
         if channel in self.channels:
             return
         lost = channel.connectionLost
@@ -41,13 +41,13 @@
         self.channels.add(channel)
 
     @defer.inlineCallbacks
-    def close_all(self, ms_clock, ends_ms):
+    def close_all(self, ms_clock, deadline_ms):
         """Close each connection when its buffered responses have been sent.
 
-        The Deferred fires when all connections are closed, or at *ends_ms* (clock
+        The Deferred fires when all connections are closed, or at *deadline_ms* (clock
         milliseconds) if some are still open then.
         """
         for channel in list(self.channels):
             channel.loseConnection()
-        while self.channels and ms_clock.now() < ends_ms:
-            yield ms_clock.sleep(STEP_MS)
+        while self.channels and ms_clock.now() < deadline_ms:
+            yield ms_clock.sleep(POLL_INTERVAL_MS)
--- a/dunlinpoint/lifecycle.py
+++ b/dunlinpoint/lifecycle.py
@@ -32,11 +32,11 @@
 
 
 @attrs.define
-class Nothing:
+class NoData:
     """Empty data object, which ``TypeMachineBuilder`` requires."""
 
 
-builder = TypeMachineBuilder(Lifecycle, Nothing)
+builder = TypeMachineBuilder(Lifecycle, NoData)
 serving = builder.state("serving")
 draining = builder.state("draining")
 stopping = builder.state("stopping")
@@ -59,4 +59,4 @@
 
 def begin():
     """A new state machine in the state *serving*."""
-    return machine(Nothing())
+    return machine(NoData())
--- a/dunlinpoint/logs.py
+++ b/dunlinpoint/logs.py
@@ -113,14 +113,14 @@
 
 
 @attrs.define
-class Allowance:
+class LineRateLimit:
     """Rate limit of log lines: per event and per second."""
 
     second: int = 0
     count_by_event: collections.Counter = attrs.field(factory=collections.Counter)
     omitted_by_event: collections.Counter = attrs.field(factory=collections.Counter)
 
-    def take(self, event, failure, now_s):
+    def allow(self, event, failure, now_s):
         """Whether one more line of *event* may be written in second *now_s*.
 
         *failure* selects the limit: ``FAILURE_PER_S`` or ``INFO_PER_S``.
@@ -135,7 +135,7 @@
         self.omitted_by_event[event] += 1
         return False
 
-    def omitted(self, now_s):
+    def pop_omitted(self, now_s):
         """The number of lines left out in earlier seconds, by event, or ``None``.
 
         Each count is returned once.
@@ -147,7 +147,7 @@
         return found
 
 
-class Output:
+class NonBlockingWriter:
     """Buffered writer to a file descriptor that never blocks."""
 
     def __init__(self, descriptor):
@@ -183,25 +183,25 @@
             del self.buffer[:count]
 
 
-class Lines(logbook.Handler):
+class LogHandler(logbook.Handler):
     """logbook handler that writes rate-limited lines to *output*."""
 
     def __init__(self, output, level):
         super().__init__(level=level, bubble=False)
         self.formatter = _format
         self.output = output
-        self.allowance = Allowance()
+        self.rate_limit = LineRateLimit()
 
     def emit(self, record):
         now_s = int(time.monotonic())
-        omitted = self.allowance.omitted(now_s)
+        omitted = self.rate_limit.pop_omitted(now_s)
         if omitted or self.output.dropped:
-            self._tell_lost(omitted or {})
+            self._write_lost(omitted or {})
         failure = record.level >= logbook.WARNING
-        if self.allowance.take(record.message, failure, now_s):
+        if self.rate_limit.allow(record.message, failure, now_s):
             self.output.write(self.format(record).encode() + b"\n")
 
-    def _tell_lost(self, omitted):
+    def _write_lost(self, omitted):
         line = {"t": round(time.time(), 3), "level": "WARNING", "event": "lines_lost"}
         line["omitted"] = omitted
         line["dropped"], self.output.dropped = self.output.dropped, 0
@@ -215,7 +215,7 @@
     """
     if descriptor is None:
         descriptor = sys.stdout.fileno()
-    handler = Lines(Output(descriptor), level)
+    handler = LogHandler(NonBlockingWriter(descriptor), level)
     handler.push_application()
     return handler
 
--- a/dunlinpoint/metrics.py
+++ b/dunlinpoint/metrics.py
@@ -25,7 +25,7 @@
 # wait, with finer steps around their latency targets.
 BUCKETS_MS = (2, 5, 10, 20, 50, 80, 120, 200, 300, 400, 600, 1000, 2000, 4000, 8000)
 # Help text of each histogram by name.
-TIMED = {
+HISTOGRAM_HELP = {
     "first_event": "from a request's arrival to its stream's first event",
     "pause": "between two events of a stream",
     "answer": "from a request's arrival to the end of its final answer",
@@ -72,12 +72,12 @@
         self.incr(f"retried.{reason}")
 
     def observe_ms(self, name, ms):
-        """Add a duration of *ms* to the histogram *name* (a key of ``TIMED``)."""
+        """Add a duration of *ms* to histogram *name*, a key of ``HISTOGRAM_HELP``."""
         histogram = self.histogram_by_name.get(name)
         if histogram is None:
             histogram = self.histogram_by_name[name] = prometheus_client.Histogram(
                 f"dunlinpoint_{name}_ms",
-                TIMED[name],
+                HISTOGRAM_HELP[name],
                 buckets=BUCKETS_MS,
                 registry=self.registry,
             )
@@ -109,12 +109,12 @@
             return
         with self.client.pipeline() as pipeline:
             for name, count in self.by_name.items():
-                news = count - self.sent_by_name[name]
-                if news:
-                    pipeline.incr(name, news)
+                increment = count - self.sent_by_name[name]
+                if increment:
+                    pipeline.incr(name, increment)
         self.sent_by_name.update(self.by_name - self.sent_by_name)
 
-    def follow(self, reactor):
+    def start_flushing(self, reactor):
         """Flush every ``FLUSH_MS`` and once more when the reactor stops."""
         loop = task.LoopingCall(self.flush)
         loop.clock = reactor
--- a/dunlinpoint/platform/__main__.py
+++ b/dunlinpoint/platform/__main__.py
@@ -10,5 +10,5 @@
 from dunlinpoint.platform import commands  # noqa: E402
 
 if __name__ == "__main__":
-    clock.steady(reactor)
+    clock.use_boot_clock(reactor)
     commands.main()
--- a/dunlinpoint/platform/addresses.py
+++ b/dunlinpoint/platform/addresses.py
@@ -6,7 +6,7 @@
 from dunlinpoint.cli import checks
 
 
-def inner(seeds, port):
+def with_port(seeds, port):
     """The *seeds* (``[(host, port)]``) with the internal protocol's *port*."""
     return [(host, port) for host, _ in seeds]
 
@@ -16,7 +16,7 @@
     return checks.port(str(ports).split(",")[0], "inner-ports")
 
 
-def whole(value, name):
+def whole_number(value, name):
     """A non-negative ``int`` from *value*, the setting *name*."""
     if not str(value).isdigit():
         raise checks.SettingError(f"{name}: {value!r} is not a whole number")
--- a/dunlinpoint/platform/admin.py
+++ b/dunlinpoint/platform/admin.py
@@ -8,7 +8,7 @@
 from dunlinpoint import logs
 from dunlinpoint.config import document as config
 from dunlinpoint.control import agreement, operators
-from dunlinpoint.platform import dialect, documents, fields
+from dunlinpoint.platform import documents, fields, protocol
 
 log = logs.logger("control")
 
@@ -32,21 +32,21 @@
         state.counters.refused("foreign_heartbeat")
         log.warning(
             "foreign_heartbeat",
-            endpoint_id=endpoint_id[: fields.LONGEST_NAME],
+            endpoint_id=endpoint_id[: fields.MAX_NAME_LENGTH],
             reason=str(error),
         )
         return reply(request, 400, {"error": str(error)})
 
-    @web.route(dialect.HEARTBEAT, methods=["POST"])
+    @web.route(protocol.HEARTBEAT_PATH, methods=["POST"])
     def heartbeat(request, endpoint_id):
         try:
-            beat = documents.to_heartbeat(endpoint_id, request.content.read())
+            message = documents.to_heartbeat(endpoint_id, request.content.read())
         except fields.FieldError as exc:
             return refuse(request, endpoint_id, exc)
-        state.renew(beat)
+        state.renew(message)
         return reply(request, 200, {})
 
-    @web.route(dialect.DEREGISTER, methods=["POST"])
+    @web.route(protocol.DEREGISTER_PATH, methods=["POST"])
     def deregister(request, endpoint_id):
         try:
             incarnation = documents.to_incarnation(request.content.read())
@@ -55,7 +55,7 @@
             return refuse(request, endpoint_id, exc)
         return reply(request, 200, {})
 
-    @web.route(dialect.REPLACE, methods=["POST"])
+    @web.route(protocol.REPLACE_PATH, methods=["POST"])
     @defer.inlineCallbacks
     def replace(request):
         try:
@@ -80,7 +80,7 @@
         state.counters.refused(outcome.reason)
         return reply(request, 503, {"error": outcome.reason})
 
-    @web.route(dialect.READ, methods=["GET"])
+    @web.route(protocol.READ_PATH, methods=["GET"])
     @defer.inlineCallbacks
     def read(request):
         decision = yield agreement.read(state.peers)
--- a/dunlinpoint/platform/agent.py
+++ b/dunlinpoint/platform/agent.py
@@ -16,14 +16,14 @@
     zone = checks.name(command.zone, "zone")
     host, app_port = checks.address(command.app, "app")
     port = addresses.first_port(command.inner_ports)
-    controls = addresses.inner(checks.addresses(command.seeds, "seeds"), port)
+    controls = addresses.with_port(checks.addresses(command.seeds, "seeds"), port)
     logs.setup()
     counters = flags.counters(reactor, command.metrics)
     engine = engines.Engine.from_config(
         reactor, f"{host}:{app_port}", engines.EnginePaths(), documents.to_rank_state
     )
     address = rank.Address(zone, command.ip, port)
-    leading = leader.Leader.from_config(
+    group_leader = leader.Leader.from_config(
         reactor,
         rank.serve(reactor, engine, address),
         view.View.from_config(reactor, zone, controls),
@@ -32,16 +32,20 @@
     )
     announcer = announce.Announcer.from_config(reactor, controls, counters)
     rank.announce(
-        reactor, engine, announcer, address, addresses.whole(command.beat_ms, "beat")
+        reactor,
+        engine,
+        announcer,
+        address,
+        addresses.whole_number(command.beat_ms, "beat"),
     )
-    leading.on_group_state.append(
+    group_leader.on_group_state.append(
         lambda found: rank.announce_state(engine, announcer, address, found)
     )
-    leader.run(reactor, leading)
+    leader.run(reactor, group_leader)
 
     def set_seeds(seeds):
-        leading.view.set_seeds(addresses.inner(seeds, port))
-        announcer.seeds = addresses.inner(seeds, port)
+        group_leader.view.set_seeds(addresses.with_port(seeds, port))
+        announcer.seeds = addresses.with_port(seeds, port)
 
     settings.watch(reactor, set_seeds)
     reactor.run()
--- a/dunlinpoint/platform/control.py
+++ b/dunlinpoint/platform/control.py
@@ -8,7 +8,7 @@
 from dunlinpoint.control import server as control_server
 from dunlinpoint.platform import addresses, admin, commands, settings
 
-MEMBER_LEASE_BEATS = 4
+MEMBER_LEASE_HEARTBEATS = 4
 
 
 def run(command: commands.PlatformControl):
@@ -22,8 +22,9 @@
         host=command.ip,
         port=own_port,
         data=checks.folder(command.data),
-        seeds=addresses.inner(seeds, own_port),
-        lease_ms=addresses.whole(command.beat_ms, "beat-ms") * MEMBER_LEASE_BEATS,
+        seeds=addresses.with_port(seeds, own_port),
+        lease_ms=addresses.whole_number(command.beat_ms, "beat-ms")
+        * MEMBER_LEASE_HEARTBEATS,
         bootstrap=command.bootstrap == "true",
     )
     logs.setup()
@@ -32,7 +33,7 @@
     )
     settings.watch(
         reactor,
-        lambda seeds: running.controls.set_seeds(addresses.inner(seeds, own_port)),
+        lambda seeds: running.controls.set_seeds(addresses.with_port(seeds, own_port)),
     )
     web = server.Site(admin.make_app(reactor, running).resource())
     reactor.listenTCP(port, web, interface=host)
--- a/dunlinpoint/platform/documents.py
+++ b/dunlinpoint/platform/documents.py
@@ -92,7 +92,7 @@
     try:
         text = body.decode()
         raw = json.loads(text)
-        ours = {
+        converted = {
             "format": config.FORMAT,
             "name": "platform",
             "number": raw["version"],
@@ -104,7 +104,7 @@
         }
     except (ValueError, KeyError, TypeError, AttributeError) as exc:
         raise config.DocumentError([config.FieldError("$", repr(exc))]) from None
-    return config.parse(json.dumps(ours))
+    return config.parse(json.dumps(converted))
 
 
 def origin(decision):
@@ -144,7 +144,7 @@
     document names is accepted: a later document may name it, and until then no
     route leads to it.
     """
-    raw = fields.table(body)
+    raw = fields.json_object(body)
     state = raw.get("state")
     if state not in (READY, DRAINING):
         raise fields.FieldError("state")
@@ -161,8 +161,8 @@
         incarnation=_incarnation(raw) or NO_INCARNATION,
         group="",
         service_name=fields.name(raw.get("service"), "service"),
-        slots=fields.whole(raw.get("slots"), "slots", 1, fields.LARGEST_I32),
-        sequence=fields.whole(raw.get("seqNo"), "seqNo"),
+        slots=fields.whole_number(raw.get("slots"), "slots", 1, fields.MAX_I32),
+        sequence=fields.whole_number(raw.get("seqNo"), "seqNo"),
         gone=False,
     )
 
@@ -171,7 +171,7 @@
     """The server's start time in a body (Unix ms), or ``None`` if not given."""
     if "born" not in raw:
         return None
-    return fields.whole(raw["born"], "born", 1)
+    return fields.whole_number(raw["born"], "born", 1)
 
 
 def to_incarnation(body):
@@ -179,4 +179,4 @@
 
     Raises ``fields.FieldError`` if the *body* is malformed.
     """
-    return _incarnation(fields.table(body)) if body.strip() else None
+    return _incarnation(fields.json_object(body)) if body.strip() else None
--- a/dunlinpoint/platform/entry.py
+++ b/dunlinpoint/platform/entry.py
@@ -10,8 +10,8 @@
 from dunlinpoint.platform import (
     addresses,
     commands,
-    dialect,
     endpoint_signals,
+    protocol,
     ready,
     settings,
 )
@@ -23,13 +23,13 @@
 ACCEPT_AFTER_STOP_MS = 3000
 # Part of the grace time kept for the exit; streams may use all of the rest.
 STOP_MARGIN_MS = 300
-STEP_MS = 50
+POLL_INTERVAL_MS = 50
 # Share of the key revocation time for which an entry serves without confirmation of
 # its document; the rest covers the round trip of the last poll.
 KEY_LEASE_SHARE = 0.8
 
 
-def start(coroutine):
+def deferred_function(coroutine):
     """A function that runs *coroutine* and returns its Deferred."""
     return lambda: defer.ensureDeferred(coroutine())
 
@@ -40,9 +40,11 @@
     host, port = checks.address(command.listen, "listen")
     ready_host, ready_port = checks.address(command.ready, "ready")
     inner_port = addresses.first_port(command.inner_ports)
-    controls = addresses.inner(checks.addresses(command.seeds, "seeds"), inner_port)
-    lease_ms = int(addresses.whole(command.revoke_ms, "revoke-ms") * KEY_LEASE_SHARE)
-    grace_ms = addresses.whole(command.grace_s, "grace-s") * clock.MS_PER_SECOND
+    controls = addresses.with_port(checks.addresses(command.seeds, "seeds"), inner_port)
+    lease_ms = int(
+        addresses.whole_number(command.revoke_ms, "revoke-ms") * KEY_LEASE_SHARE
+    )
+    grace_ms = addresses.whole_number(command.grace_s, "grace-s") * clock.MS_PER_SECOND
     logs.setup()
     entry_view = view.View.from_config(reactor, zone, controls)
     entry_view.follower = command.listen
@@ -50,15 +52,16 @@
         reactor,
         entry_view,
         flags.counters(reactor, command.metrics),
-        dialect.HEADERS,
+        protocol.HEADERS,
         endpoint_signals.from_answer,
         lease_ms,
     )
     entry_view.follow(reactor)
     settings.watch(
-        reactor, lambda seeds: entry_view.set_seeds(addresses.inner(seeds, inner_port))
+        reactor,
+        lambda seeds: entry_view.set_seeds(addresses.with_port(seeds, inner_port)),
     )
-    callers, listening = site.listen(reactor, forward, host, port)
+    callers_site, listening_port = site.listen(reactor, forward, host, port)
 
     def is_ready():
         return (
@@ -72,16 +75,16 @@
 
     async def stop():
         forward.lifecycle.drain()
-        ends = forward.clock.now() + grace_ms - STOP_MARGIN_MS
+        deadline_ms = forward.clock.now() + grace_ms - STOP_MARGIN_MS
         log.info("draining", in_flight=forward.in_flight)
         await forward.clock.sleep(min(ACCEPT_AFTER_STOP_MS, grace_ms // 3))
         forward.lifecycle.close()
-        await listening.stopListening()
-        while forward.in_flight and forward.clock.now() < ends:
-            await forward.clock.sleep(STEP_MS)
-        await callers.close_all(forward.clock, ends)
+        await listening_port.stopListening()
+        while forward.in_flight and forward.clock.now() < deadline_ms:
+            await forward.clock.sleep(POLL_INTERVAL_MS)
+        await callers_site.close_all(forward.clock, deadline_ms)
         log.info("stopped", counters=forward.counters.snapshot())
 
-    reactor.addSystemEventTrigger("before", "shutdown", start(stop))
+    reactor.addSystemEventTrigger("before", "shutdown", deferred_function(stop))
     log.info("started", zone=zone, port=port)
     reactor.run()
--- a/dunlinpoint/platform/fields.py
+++ b/dunlinpoint/platform/fields.py
@@ -10,22 +10,22 @@
 import ipaddress
 import json
 
-LARGEST_I32 = 2**31 - 1
-LARGEST_I64 = 2**63 - 1
-LARGEST_PORT = 2**16 - 1
+MAX_I32 = 2**31 - 1
+MAX_I64 = 2**63 - 1
+MAX_PORT = 2**16 - 1
 # Far above valid names and bodies: a name has a few dozen characters and a heartbeat
 # a few hundred bytes, also in a group of 72 ranks.
-LONGEST_NAME = 256
-LARGEST_BODY = 64 * 1024
+MAX_NAME_LENGTH = 256
+MAX_BODY_BYTES = 64 * 1024
 
 
 class FieldError(ValueError):
     """An invalid body: its text is the problem, or the name of the invalid field."""
 
 
-def table(body):
+def json_object(body):
     """The JSON object in *body* (``bytes``) as a ``dict``."""
-    if len(body) > LARGEST_BODY:
+    if len(body) > MAX_BODY_BYTES:
         raise FieldError("body too long")
     try:
         raw = json.loads(body)
@@ -38,7 +38,7 @@
 
 def name(value, field):
     """*value* if it is a valid name: non-empty, short, encodable as UTF-8."""
-    if not isinstance(value, str) or not 0 < len(value) <= LONGEST_NAME:
+    if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_LENGTH:
         raise FieldError(field)
     try:
         value.encode()
@@ -47,11 +47,11 @@
     return value
 
 
-def whole(value, field, least=0, most=LARGEST_I64):
+def whole_number(value, field, minimum=0, maximum=MAX_I64):
     """*value* if it is an ``int`` from *least* to *most*."""
     if isinstance(value, bool) or not isinstance(value, int):
         raise FieldError(field)
-    if not least <= value <= most:
+    if not minimum <= value <= maximum:
         raise FieldError(field)
     return value
 
@@ -65,4 +65,4 @@
         ipaddress.IPv4Address(host)
     except ValueError as exc:
         raise FieldError(field) from exc
-    return host, whole(int(port), field, 1, LARGEST_PORT)
+    return host, whole_number(int(port), field, 1, MAX_PORT)
--- a/dunlinpoint/platform/dialect.py
+++ b/dunlinpoint/platform/protocol.py
@@ -12,8 +12,8 @@
     priority=b"X-Dunlinpoint-Request-Priority",
     fault_at=b"At-Server",
 )
-READY = "/api/readyz"
-HEARTBEAT = "/api/instances/<endpoint_id>/heartbeat"
-DEREGISTER = "/api/instances/<endpoint_id>/deregister"
-REPLACE = "/api/config/replace"
-READ = "/api/config/read"
+READY_PATH = "/api/readyz"
+HEARTBEAT_PATH = "/api/instances/<endpoint_id>/heartbeat"
+DEREGISTER_PATH = "/api/instances/<endpoint_id>/deregister"
+REPLACE_PATH = "/api/config/replace"
+READ_PATH = "/api/config/read"
--- a/dunlinpoint/platform/settings.py
+++ b/dunlinpoint/platform/settings.py
@@ -20,30 +20,30 @@
 
 FILE_VARIABLE = "DUNLINPOINT_NODE_FILE"
 # How often the file is polled, for changes without a signal.
-LOOK_MS = 2000
+POLL_INTERVAL_MS = 2000
 
 
 @attrs.define
-class Watch:
+class SeedsWatcher:
     """Watches the settings file at ``path`` for new seeds.
 
-    ``hear`` is called with changed seeds (``[(host, port)]``), but not with those
+    ``on_change`` is called with changed seeds (``[(host, port)]``), but not with those
     of the first read.
     """
 
     path: str
-    hear: object
-    seen: tuple | None = None
+    on_change: object
+    last_stat: tuple | None = None
     seeds: list | None = None
 
-    def look(self):
+    def poll(self):
         """Read the file if it has changed; an invalid file is logged and ignored."""
         try:
             found = os.stat(self.path)
             state = found.st_mtime_ns, found.st_size, found.st_ino
-            if state == self.seen:
+            if state == self.last_stat:
                 return
-            self.seen = state
+            self.last_stat = state
             with open(self.path) as source:
                 seeds = checks.addresses(",".join(json.load(source)["seeds"]), "seeds")
         except (OSError, ValueError, KeyError, TypeError) as exc:
@@ -53,12 +53,12 @@
             return
         first, self.seeds = self.seeds is None, seeds
         if not first:
-            self.hear(seeds)
+            self.on_change(seeds)
         log.info("settings_read", seeds=[f"{h}:{p}" for h, p in seeds], done=not first)
 
 
-def watch(reactor, hear):
-    """Watch the settings file by polling and at SIGHUP; the ``Watch``.
+def watch(reactor, on_change):
+    """Watch the settings file by polling and at SIGHUP; the ``SeedsWatcher``.
 
     *hear* is called with changed seeds (``[(host, port)]``). Returns ``None`` if
     no settings file is given in ``FILE_VARIABLE``.
@@ -66,13 +66,13 @@
     path = os.environ.get(FILE_VARIABLE, "")
     if not path:
         return None
-    watched = Watch(path, hear)
+    watcher = SeedsWatcher(path, on_change)
 
-    def hung_up(_number, _frame):
-        reactor.callFromThread(watched.look)
+    def on_sighup(_number, _frame):
+        reactor.callFromThread(watcher.poll)
 
-    signal.signal(signal.SIGHUP, hung_up)
-    loop = task.LoopingCall(watched.look)
+    signal.signal(signal.SIGHUP, on_sighup)
+    loop = task.LoopingCall(watcher.poll)
     loop.clock = reactor
-    loop.start(clock.seconds(LOOK_MS))
-    return watched
+    loop.start(clock.seconds(POLL_INTERVAL_MS))
+    return watcher
--- a/dunlinpoint/platform/tests/test_foreign.py
+++ b/dunlinpoint/platform/tests/test_foreign.py
@@ -18,7 +18,7 @@
 from dunlinpoint.platform import documents, fields
 from dunlinpoint.wire.gen.dunlin import ttypes
 
-SOUND = {
+VALID = {
     "service": "huvo11a",
     "address": "10.128.0.9:8080",
     "zone": "accra-a",
@@ -28,7 +28,7 @@
     "coldLeftMs": 0,
     "seqNo": 4,
 }
-FOREIGN = {
+INVALID = {
     "service": [None, 7, "", ["a"], "\ud800", "x" * 1000],
     "address": [None, 7, "", "10.0.0.1", "host:80", "10.0.0.1:0", "10.0.0.1:65536"],
     "zone": [None, 7, "", {}, ["accra-a"]],
@@ -52,10 +52,10 @@
 
 
 def heartbeat(**changed):
-    return documents.to_heartbeat("i-1", json.dumps(SOUND | changed).encode())
+    return documents.to_heartbeat("i-1", json.dumps(VALID | changed).encode())
 
 
-def written(members):
+def round_trip(members):
     """*members* serialised and parsed again, as in a control's reply."""
     transport = TTransport.TMemoryBuffer()
     ttypes.View(members=members).write(TBinaryProtocol.TBinaryProtocol(transport))
@@ -65,25 +65,25 @@
     return read.members
 
 
-def test_a_sound_heartbeat_is_taken():
-    beat = heartbeat()
-    assert (beat.host, beat.port, beat.slots) == ("10.128.0.9", 8080, 6)
-    assert not beat.draining and beat.incarnation == 0
+def test_a_valid_heartbeat_is_accepted():
+    message = heartbeat()
+    assert (message.host, message.port, message.slots) == ("10.128.0.9", 8080, 6)
+    assert not message.draining and message.incarnation == 0
     assert heartbeat(state="draining").draining
     assert heartbeat(born=1789070167009).incarnation == 1789070167009
 
 
 @pytest.mark.parametrize(
-    ("field", "value"), [(f, v) for f, values in FOREIGN.items() for v in values]
+    ("field", "value"), [(f, v) for f, values in INVALID.items() for v in values]
 )
-def test_a_field_of_another_writer_is_refused(field, value):
+def test_an_invalid_field_is_refused(field, value):
     with pytest.raises(fields.FieldError):
         heartbeat(**{field: value})
 
 
-@pytest.mark.parametrize("field", sorted(set(FOREIGN) - {"born"}))
+@pytest.mark.parametrize("field", sorted(set(INVALID) - {"born"}))
 def test_a_missing_field_is_refused(field):
-    raw = {name: value for name, value in SOUND.items() if name != field}
+    raw = {name: value for name, value in VALID.items() if name != field}
     with pytest.raises(fields.FieldError):
         documents.to_heartbeat("i-1", json.dumps(raw).encode())
 
@@ -91,21 +91,21 @@
 @pytest.mark.parametrize(
     "body", [b"", b"null", b"[]", b'"x"', b"\xff\xfe", b"[" * 50_000, b" " * 2**20]
 )
-def test_bytes_that_cannot_be_read_are_refused(body):
+def test_a_malformed_body_is_refused(body):
     with pytest.raises(fields.FieldError):
         documents.to_heartbeat("i-1", body)
 
 
 @hypothesis.settings(deadline=None)
-@hypothesis.given(strategies.sampled_from(sorted(SOUND)), JSON)
-def test_whatever_is_taken_can_be_listed(field, value):
+@hypothesis.given(strategies.sampled_from(sorted(VALID)), JSON)
+def test_an_accepted_heartbeat_can_be_serialised(field, value):
     try:
-        beat = heartbeat(**{field: value})
+        message = heartbeat(**{field: value})
     except fields.FieldError:
         return
     members = membership.Membership()
-    members.renew(beat, 0)
-    (member,) = written(members.members(0))
+    members.renew(message, 0)
+    (member,) = round_trip(members.members(0))
     assert member.endpoint_id == "i-1"
 
 
@@ -121,7 +121,7 @@
     assert (member.host, member.service_name) == ("10.128.0.9", "huvo11a")
 
 
-def test_a_leave_says_which_start_it_ends():
+def test_a_deregister_call_names_the_incarnation():
     assert documents.to_incarnation(b"") is None
     assert documents.to_incarnation(b'{"born": 12}') == 12
     for body in (b"[]", b'{"born": "12"}', b"\xff"):
--- a/dunlinpoint/tests/test_clock.py
+++ b/dunlinpoint/tests/test_clock.py
@@ -7,12 +7,12 @@
 from dunlinpoint import clock
 
 
-def test_a_step_of_the_time_of_day_moves_no_deadline(monkeypatch):
+def test_a_step_of_the_wall_clock_moves_no_deadline(monkeypatch):
     # Guards against an entry that answers 503 or not at all after the wall clock
     # was set back, for as long as it was set back (here 40 minutes). The reactor
     # uses the wall clock by default, so polls and request timeouts were late.
     monkeypatch.setattr(reactor, "seconds", reactor.seconds)
-    clock.steady(reactor)
+    clock.use_boot_clock(reactor)
     before = clock.Clock(reactor).now()
     fired = reactor.callLater(1, lambda: None)
     monkeypatch.setattr(time, "time", lambda: 0.0)
@@ -22,13 +22,13 @@
     fired.cancel()
 
 
-def test_a_suspended_machine_wakes_with_its_leases_aged(monkeypatch):
+def test_leases_age_while_the_machine_is_suspended(monkeypatch):
     # Guards against a revoked key that still works for a moment: an entry's machine
     # is suspended for ten seconds, the key is revoked meanwhile, and requests waiting
     # in its sockets are served on resume. The monotonic clock stops during
     # suspension, so the entry's document still looked confirmed.
     monkeypatch.setattr(reactor, "seconds", reactor.seconds)
-    clock.steady(reactor)
+    clock.use_boot_clock(reactor)
     before = clock.Clock(reactor).now()
     slept_s, true_time = 10, time.clock_gettime
 
--- a/dunlinpoint/tests/test_lifecycle.py
+++ b/dunlinpoint/tests/test_lifecycle.py
@@ -12,7 +12,7 @@
     assert process.is_draining() and process.is_stopping()
 
 
-def test_a_second_signal_does_not_open_it_again():
+def test_a_second_signal_does_not_restart_serving():
     # Guards against an instance that is being stopped and accepts work again: after
     # SIGTERM and the end of the drain period, a second SIGTERM reopened it, because
     # each signal handler set its own flag.
--- a/dunlinpoint/tests/test_logs.py
+++ b/dunlinpoint/tests/test_logs.py
@@ -17,12 +17,12 @@
     return [json.loads(line) for line in data.decode().splitlines()]
 
 
-def test_a_flood_of_lines_is_cut_and_what_is_left_out_is_told(monkeypatch):
+def test_a_flood_of_lines_is_limited_and_the_omitted_are_counted(monkeypatch):
     # Ten times today's load, most of it refused, in one second.
     reader, writer = os.pipe()
     seconds = [100.0]
     monkeypatch.setattr(logs.time, "monotonic", lambda: seconds[0])
-    handler = logs.Lines(logs.Output(writer), "INFO")
+    handler = logs.LogHandler(logs.NonBlockingWriter(writer), "INFO")
     log = logbook.Logger("entry")
     with handler.applicationbound():
         for i in range(500):
@@ -38,11 +38,11 @@
     assert lost["omitted"]["answered"] == 500 - logs.INFO_PER_S
 
 
-def test_a_reader_that_stopped_reading_does_not_stop_the_process():
+def test_a_reader_that_stopped_reading_does_not_block_the_process():
     # Guards against a process that hangs while it serves: the reader of its output
     # stops reading, the pipe fills up, and the next log line blocks.
     reader, writer = os.pipe()
-    output = logs.Output(writer)
+    output = logs.NonBlockingWriter(writer)
     line = b"x" * 999 + b"\n"
     for _ in range(2000):
         output.write(line)
@@ -58,12 +58,12 @@
 def test_a_reader_that_is_gone_does_not_end_the_process():
     reader, writer = os.pipe()
     os.close(reader)
-    output = logs.Output(writer)
+    output = logs.NonBlockingWriter(writer)
     output.write(b"line\n")
     assert output.dropped == 1
 
 
-def test_every_field_of_every_line_is_named():
+def test_every_field_of_every_line_is_documented():
     folder = pathlib.Path(dunlinpoint.__file__).parent
     unnamed = []
     for path in folder.rglob("*.py"):
