--- a/dunlinpoint/agent/__init__.py
+++ b/dunlinpoint/agent/__init__.py
@@ -12,7 +12,7 @@
 ``calls``           calls to the plain service, and the outcomes of their keys
 ``announce``        heartbeats to control, with failover between controls
 ``rebalance``       computes the expert map for ranks that are one process
-``rebalance_loop``  orders such a map from the engine
+``rebalance_loop``  sends such a map to the engine
 ``server``          the thrift handler, heartbeats, drain
 ==================  ==========================================================
 """
--- a/dunlinpoint/agent/announce.py
+++ b/dunlinpoint/agent/announce.py
@@ -23,13 +23,13 @@
 class Announcer:
     """Sends heartbeats to one of the known controls.
 
-    ``seeds`` and ``known`` are lists of ``(host, port)``: from the settings and
-    from control's replies. ``index`` is the position of the control in use.
+    ``seeds`` and ``known_controls`` are lists of ``(host, port)``: from the settings
+    and from control's replies. ``index`` is the position of the control in use.
     """
 
     links: rpc.Links
     seeds: list
-    known: list
+    known_controls: list
     counters: metrics.Counters
     index: int = 0
 
@@ -41,14 +41,16 @@
 
     @defer.inlineCallbacks
     def send_heartbeat(self, message):
-        """Send the ``Heartbeat`` *beat*; its reply, or ``None`` after a failure.
+        """Send the ``Heartbeat`` *message*; its reply, or ``None`` after a failure.
 
-        Sets ``controls_known`` of *beat*. After a failure the next call uses the
+        Sets ``controls_known`` of *message*. After a failure the next call uses the
         next control.
         """
-        addresses = self.known + [a for a in self.seeds if a not in self.known]
+        addresses = self.known_controls + [
+            a for a in self.seeds if a not in self.known_controls
+        ]
         host, port = addresses[self.index % len(addresses)]
-        message.controls_known = discovery.checksum(self.known)
+        message.controls_known = discovery.checksum(self.known_controls)
         try:
             reply = yield self.links.to(host, port).call("heartbeat", message)
         except (errors.WireError, ttypes.Refused) as exc:
@@ -57,7 +59,7 @@
             self.index += 1
             return None
         if reply.controls is not None:
-            self.known = sorted((v.host, v.port) for v in reply.controls)
-            if (host, port) in self.known:
-                self.index = self.known.index((host, port))
+            self.known_controls = sorted((v.host, v.port) for v in reply.controls)
+            if (host, port) in self.known_controls:
+                self.index = self.known_controls.index((host, port))
         return reply
--- a/dunlinpoint/agent/rebalance_loop.py
+++ b/dunlinpoint/agent/rebalance_loop.py
@@ -1,4 +1,4 @@
-"""Orders expert maps from an engine whose ranks are one process.
+"""Commands an engine whose ranks are one process to switch its expert map.
 
 Groups whose ranks are separate processes use :mod:`dunlinpoint.experts`.
 """
@@ -39,7 +39,7 @@
     *old* and *new* are placements (``[rank]`` by expert). The store is limited
     to a few experts per second. A map that moves more than that would start from
     the first expert in each attempt and never finish, so ``state.fetched_experts``
-    keeps the experts loaded so far until a map is ordered.
+    keeps the experts loaded so far until the map is sent to the engine.
     """
     if not state.settings.weights:
         return True
@@ -58,11 +58,11 @@
 
 @defer.inlineCallbacks
 def rebalance_once(state):
-    """Read the engine's load and order a new expert map if its benefit is enough.
+    """Read the engine's load and command a new expert map if its benefit is enough.
 
-    The order carries a fencing number greater than any earlier one of this agent
+    The command carries a fencing number greater than any earlier one of this agent
     and of its earlier incarnations, so an engine that checks fences refuses a late
-    order from a process that has been replaced. The engine switches all ranks at
+    command from a process that has been replaced. The engine switches all ranks at
     one step boundary.
     """
     if state.draining:
@@ -85,14 +85,14 @@
         return
     state.fetched_experts.clear()
     state.map_version = max(state.map_version, report["map_version"]) + 1
-    order = {
+    command = {
         "kind": "set_map",
         "version": state.map_version,
         "placement": proposed,
         "fence": settings.incarnation * FENCE_STRIDE + state.map_version,
     }
     response = yield treq.post(
-        f"{settings.backend}/orders", data=json.dumps(order).encode(), timeout=2
+        f"{settings.backend}/orders", data=json.dumps(command).encode(), timeout=2
     )
     yield response.content()
     if response.code == 200:
--- a/dunlinpoint/cli/daemon.py
+++ b/dunlinpoint/cli/daemon.py
@@ -188,7 +188,7 @@
     ranks: Annotated[int, flags.flag("DUNLIN_RANKS", "ranks in the group", 4)]
     experts: Annotated[int, flags.flag("DUNLIN_EXPERTS", "experts per layer", 16)]
     ignore_fence: Annotated[
-        bool, cappa.Arg(long=True, default=False, help="accept stale orders")
+        bool, cappa.Arg(long=True, default=False, help="accept stale commands")
     ]
     host: flags.Host
 
--- a/dunlinpoint/cli/explain.py
+++ b/dunlinpoint/cli/explain.py
@@ -1,8 +1,8 @@
 """The history of one request, from the log lines of several processes.
 
-These are the lines with the request's id and, in between in order of time, the lines
-about changes of the state that those processes knew (members, groups, documents,
-voters), since that state determined the request's outcome.
+These are, in order of time, the lines with the request's id and the lines about
+changes of state known to those processes (members, groups, documents, voters), since
+that state determined the request's outcome.
 """
 
 import json
--- a/dunlinpoint/cli/flags.py
+++ b/dunlinpoint/cli/flags.py
@@ -23,7 +23,7 @@
 Controls = Annotated[str, flag("DUNLIN_CONTROLS", "control host:port list")]
 Seeds = Annotated[str, flag("DUNLIN_SEEDS", "controls' host:port list")]
 InnerPorts = Annotated[str, flag("DUNLIN_INNER_PORTS", "internal protocol's ports")]
-BeatMs = Annotated[str, flag("DUNLIN_BEAT_MS", "heartbeat interval, ms", "1200")]
+HeartbeatMs = Annotated[str, flag("DUNLIN_BEAT_MS", "heartbeat interval, ms", "1200")]
 Ip = Annotated[str, flag("DUNLIN_IP", "this machine's address")]
 
 
--- a/dunlinpoint/http_site.py
+++ b/dunlinpoint/http_site.py
@@ -31,11 +31,11 @@
     def _track(self, channel):
         if channel in self.channels:
             return
-        lost = channel.connectionLost
+        original_connection_lost = channel.connectionLost
 
         def connection_lost(reason):
             self.channels.discard(channel)
-            lost(reason)
+            original_connection_lost(reason)
 
         channel.connectionLost = connection_lost
         self.channels.add(channel)
--- a/dunlinpoint/platform/admin.py
+++ b/dunlinpoint/platform/admin.py
@@ -25,7 +25,7 @@
 def make_app(reactor, state):
     """The Klein app over a control instance's *state*."""
     web = Klein()
-    numbers = operators.NumberCache()
+    number_cache = operators.NumberCache()
 
     def refuse(request, endpoint_id, error):
         """Answer 400 to a malformed call of an endpoint; count and log it."""
@@ -64,7 +64,7 @@
             state.counters.refused("invalid_document")
             return reply(request, 400, {"error": str(exc)})
         arrived_ms = state.clock.now()
-        outcome = yield operators.replace(reactor, state.peers, numbers, doc)
+        outcome = yield operators.replace(reactor, state.peers, number_cache, doc)
         took_ms = state.clock.now() - arrived_ms
         state.counters.observe_ms("agreement", took_ms)
         log.info(
--- a/dunlinpoint/platform/commands.py
+++ b/dunlinpoint/platform/commands.py
@@ -41,7 +41,7 @@
     seeds: flags.Seeds
     inner_ports: flags.InnerPorts
     data: Annotated[str, flags.flag("DUNLIN_DATA", "data folder")]
-    beat_ms: flags.BeatMs
+    beat_ms: flags.HeartbeatMs
     bootstrap: Annotated[str, flags.flag("DUNLIN_BOOTSTRAP", "first start", "false")]
     metrics: flags.Metrics
 
@@ -57,7 +57,7 @@
     service: Annotated[str, flags.flag("DUNLIN_SERVICE", "the rank's service")]
     seeds: flags.Seeds
     inner_ports: flags.InnerPorts
-    beat_ms: flags.BeatMs
+    beat_ms: flags.HeartbeatMs
     metrics: flags.Metrics
 
 
--- a/dunlinpoint/platform/endpoint_signals.py
+++ b/dunlinpoint/platform/endpoint_signals.py
@@ -7,15 +7,15 @@
 
 log = logs.logger("entry")
 
-LIMIT = b"Server-Limit"
-REST = b"Retry-After"
-LEAVING = b"Server-Leaving"
-REFUSED = 503
+LIMIT_HEADER = b"Server-Limit"
+RETRY_AFTER_HEADER = b"Retry-After"
+DRAINING_HEADER = b"Server-Leaving"
+SERVICE_UNAVAILABLE = 503
 # Misdirected Request: the response of a server other than the one addressed.
-OTHER_SERVER = 421
+MISDIRECTED_REQUEST = 421
 
 
-def _number(value):
+def _parse_number(value):
     """A finite, non-negative ``float`` from a header's *value*, or ``ValueError``."""
     number = float(value)
     if not math.isfinite(number) or number < 0:
@@ -23,7 +23,7 @@
     return number
 
 
-def _read(headers, name):
+def _read_number(headers, name):
     """``(number, readable)`` of header *name*; *number* is ``None`` if there is none.
 
     *readable* is ``False`` if the header is present but is no valid number.
@@ -32,20 +32,22 @@
     if value is None:
         return None, True
     try:
-        return _number(value), True
+        return _parse_number(value), True
     except ValueError:
         log.warning("notice_unreadable", field=name.decode(), error=repr(value[:40]))
         return None, False
 
 
-def from_answer(status, headers):
+def from_response(status, headers):
     """The ``Signal`` in a response with *status* and *headers*."""
-    if status == OTHER_SERVER:
+    if status == MISDIRECTED_REQUEST:
         return endpoint_signals.NO_SIGNAL
-    limit_per_s, is_complete = _read(headers, LIMIT)
+    limit_per_s, is_complete = _read_number(headers, LIMIT_HEADER)
     backoff_ms = None
-    if status == REFUSED:
-        rest_s, _ = _read(headers, REST)
-        backoff_ms = None if rest_s is None else math.ceil(rest_s * clock.MS_PER_SECOND)
-    is_draining = headers.getRawHeaders(LEAVING, [b""])[-1].strip() == b"1"
+    if status == SERVICE_UNAVAILABLE:
+        backoff_s, _ = _read_number(headers, RETRY_AFTER_HEADER)
+        backoff_ms = (
+            None if backoff_s is None else math.ceil(backoff_s * clock.MS_PER_SECOND)
+        )
+    is_draining = headers.getRawHeaders(DRAINING_HEADER, [b""])[-1].strip() == b"1"
     return endpoint_signals.Signal(limit_per_s, backoff_ms, is_draining, is_complete)
--- a/dunlinpoint/platform/entry.py
+++ b/dunlinpoint/platform/entry.py
@@ -48,12 +48,12 @@
     logs.setup()
     entry_view = view.View.from_config(reactor, zone, controls)
     entry_view.follower = command.listen
-    forward = state.Forwarder.from_config(
+    forwarder = state.Forwarder.from_config(
         reactor,
         entry_view,
         flags.counters(reactor, command.metrics),
         protocol.HEADERS,
-        endpoint_signals.from_answer,
+        endpoint_signals.from_response,
         lease_ms,
     )
     entry_view.follow(reactor)
@@ -61,29 +61,29 @@
         reactor,
         lambda seeds: entry_view.set_seeds(addresses.with_port(seeds, inner_port)),
     )
-    callers_site, listening_port = site.listen(reactor, forward, host, port)
+    callers_site, listening_port = site.listen(reactor, forwarder, host, port)
 
     def is_ready():
         return (
-            forward.table.version > 0
-            and not forward.lifecycle.is_draining()
-            and not forward.key_lease_ended()
+            forwarder.table.version > 0
+            and not forwarder.lifecycle.is_draining()
+            and not forwarder.key_lease_ended()
         )
 
     web = server.Site(ready.make_app(is_ready).resource())
     reactor.listenTCP(ready_port, web, interface=ready_host)
 
     async def stop():
-        forward.lifecycle.drain()
-        deadline_ms = forward.clock.now() + grace_ms - STOP_MARGIN_MS
-        log.info("draining", in_flight=forward.in_flight)
-        await forward.clock.sleep(min(ACCEPT_AFTER_STOP_MS, grace_ms // 3))
-        forward.lifecycle.close()
+        forwarder.lifecycle.drain()
+        deadline_ms = forwarder.clock.now() + grace_ms - STOP_MARGIN_MS
+        log.info("draining", in_flight=forwarder.in_flight)
+        await forwarder.clock.sleep(min(ACCEPT_AFTER_STOP_MS, grace_ms // 3))
+        forwarder.lifecycle.close()
         await listening_port.stopListening()
-        while forward.in_flight and forward.clock.now() < deadline_ms:
-            await forward.clock.sleep(POLL_INTERVAL_MS)
-        await callers_site.close_all(forward.clock, deadline_ms)
-        log.info("stopped", counters=forward.counters.snapshot())
+        while forwarder.in_flight and forwarder.clock.now() < deadline_ms:
+            await forwarder.clock.sleep(POLL_INTERVAL_MS)
+        await callers_site.close_all(forwarder.clock, deadline_ms)
+        log.info("stopped", counters=forwarder.counters.snapshot())
 
     reactor.addSystemEventTrigger("before", "shutdown", deferred_function(stop))
     log.info("started", zone=zone, port=port)
--- a/dunlinpoint/platform/settings.py
+++ b/dunlinpoint/platform/settings.py
@@ -60,7 +60,7 @@
 def watch(reactor, on_change):
     """Watch the settings file by polling and at SIGHUP; the ``SeedsWatcher``.
 
-    *hear* is called with changed seeds (``[(host, port)]``). Returns ``None`` if
+    *on_change* is called with changed seeds (``[(host, port)]``). Returns ``None`` if
     no settings file is given in ``FILE_VARIABLE``.
     """
     path = os.environ.get(FILE_VARIABLE, "")
--- a/dunlinpoint/platform/tests/test_endpoint_signals.py
+++ b/dunlinpoint/platform/tests/test_endpoint_signals.py
@@ -11,7 +11,7 @@
     headers = http_headers.Headers()
     for name, value in named.items():
         headers.setRawHeaders(name.replace("_", "-"), [value])
-    return decoder.from_answer(status, headers)
+    return decoder.from_response(status, headers)
 
 
 def test_a_response_without_signals():
