--- a/dunlinpoint/cli/ctl.py
+++ b/dunlinpoint/cli/ctl.py
@@ -65,6 +65,7 @@
 
 
 def controls_flag():
+    """The flag ``--controls``, by default ``DUNLIN_CONTROLS``."""
     return cappa.Arg(
         long=True, default=cappa.Env("DUNLIN_CONTROLS"), help="host:port,..."
     )
@@ -89,6 +90,7 @@
 
 
 def derive_change_id(text, expected):
+    """A change id (24 hex digits), the same for the same document and version."""
     return hashlib.sha256(f"{expected}\n{text}".encode()).hexdigest()[:24]
 
 
--- a/dunlinpoint/cli/daemon.py
+++ b/dunlinpoint/cli/daemon.py
@@ -31,6 +31,7 @@
 
 
 def listen_http(port, host, web):
+    """Serve the Klein app *web* on *host*:*port*."""
     return reactor.listenTCP(port, server.Site(web.resource()), interface=host)
 
 
