--- a/dunlinpoint/agent/balance.py
+++ b/dunlinpoint/agent/rebalance_loop.py
@@ -1,6 +1,6 @@
-"""The expert map of an engine whose ranks are one process, ordered by its agent.
+"""Commands an engine whose ranks are one process to switch its expert map.
 
-Groups whose ranks are separate processes have :mod:`dunlinpoint.experts`.
+Groups whose ranks are separate processes use :mod:`dunlinpoint.experts`.
 """
 
 import json
@@ -19,14 +19,14 @@
 DEFAULT_SKEW_WEIGHT = 0.5
 
 
-def body_of(document):
+def decode_body(document):
     """The JSON object of a ``Document`` message."""
     return json.loads(packed.unpack(document.body))
 
 
 def skew_weight(state):
     """The skew weight of this agent's group in the document in force."""
-    for group in body_of(state.document).get("groups", []):
+    for group in decode_body(state.document).get("groups", []):
         if group.get("name") == state.settings.group:
             return float(group.get("skew_weight", DEFAULT_SKEW_WEIGHT))
     return DEFAULT_SKEW_WEIGHT
@@ -34,17 +34,17 @@
 
 @defer.inlineCallbacks
 def fetch_weights(state, old, new):
-    """Load the moved experts' weights; ``False`` when the store says wait.
+    """Load the weights of moved experts; ``False`` if the store answers 429.
 
-    The store serves a few experts a second; a map moving more than that
-    would start again from the first expert every round and never finish,
-    so experts already loaded are remembered in ``state.fetched`` until a
-    map is ordered.
+    *old* and *new* are placements (``[rank]`` by expert). The store is limited
+    to a few experts per second. A map that moves more than that would start from
+    the first expert in each attempt and never finish, so ``state.fetched_experts``
+    keeps the experts loaded so far until the map is sent to the engine.
     """
     if not state.settings.weights:
         return True
     for expert, (a, b) in enumerate(zip(old, new, strict=True)):
-        if a == b or (expert, b) in state.fetched:
+        if a == b or (expert, b) in state.fetched_experts:
             continue
         url = f"{state.settings.weights}/weights/{state.settings.group}/{expert}"
         response = yield treq.get(url, timeout=5)
@@ -52,18 +52,18 @@
         if response.code == 429:
             state.counters.retried("weights_rate_limited")
             return False
-        state.fetched.add((expert, b))
+        state.fetched_experts.add((expert, b))
     return True
 
 
 @defer.inlineCallbacks
 def rebalance_once(state):
-    """Read the engine's load, and order a new expert map if worth it.
+    """Read the engine's load and command a new expert map if its benefit is enough.
 
-    The order carries a fencing number above every earlier one of this
-    agent and of its earlier incarnations, so an engine that honours fences
-    refuses a late order from a process that has since been replaced. The
-    engine switches at a step boundary for every rank at once.
+    The command carries a fencing number greater than any earlier one of this agent
+    and of its earlier incarnations, so an engine that checks fences refuses a late
+    command from a process that has been replaced. The engine switches all ranks at
+    one step boundary.
     """
     if state.draining:
         return
@@ -83,16 +83,16 @@
         return
     if not (yield fetch_weights(state, placement, proposed)):
         return
-    state.fetched.clear()
+    state.fetched_experts.clear()
     state.map_version = max(state.map_version, report["map_version"]) + 1
-    order = {
+    command = {
         "kind": "set_map",
         "version": state.map_version,
         "placement": proposed,
         "fence": settings.incarnation * FENCE_STRIDE + state.map_version,
     }
     response = yield treq.post(
-        f"{settings.backend}/orders", data=json.dumps(order).encode(), timeout=2
+        f"{settings.backend}/orders", data=json.dumps(command).encode(), timeout=2
     )
     yield response.content()
     if response.code == 200:
@@ -103,7 +103,7 @@
         state.counters.refused("map_order")
 
 
-def rebalancing(reactor, state):
+def start_rebalancing(reactor, state):
     """Consider a rebalance every ``REBALANCE_MS``."""
 
     def attempt():
--- a/dunlinpoint/agent/server.py
+++ b/dunlinpoint/agent/server.py
@@ -8,9 +8,9 @@
 - ``call`` forwards one plain-service call; non-idempotent operations go
   through the :mod:`keys` table so each key runs at most once.
 
-While draining, new ``start`` and ``call`` orders are refused with
-``Refused`` (certainly not run) and a ``retry_after_ms``, so the entry can
-send them elsewhere at once; work in flight finishes.
+While draining, new ``start`` and ``call`` orders are refused with ``Refused``
+(guaranteed not executed) and a ``retry_after_ms``, so the entry can send them
+to another endpoint at once. Work in flight finishes.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from zope.interface import implementer
 
 from dunlinpoint import clock, logs, metrics
-from dunlinpoint.agent import announce, balance, calls, keys, streams
+from dunlinpoint.agent import announce, calls, keys, rebalance_loop, streams
 from dunlinpoint.config import document as config
 from dunlinpoint.config import packed
 from dunlinpoint.wire import errors, rpc
@@ -35,12 +35,17 @@
 BACKUP_TIMEOUT_MS = 800
 LINGER_MS = 1500
 DRAIN_RETRY_AFTER_MS = 200
-RESUME_TRIES = 3
+RESUME_ATTEMPTS = 3
 
 
 @attrs.define
 class Settings:
-    """What one agent needs to know at start; all checked by the CLI."""
+    """Settings of one agent, validated by the CLI.
+
+    ``backend`` and ``weights`` are URLs; ``controls`` is ``[(host, port)]``;
+    ``announced`` is the ``(host, port)`` sent in heartbeats, by default the
+    listening address.
+    """
 
     endpoint_id: str
     zone: str
@@ -69,18 +74,18 @@
     backups: rpc.Links
     calls_in_flight: int = 0
     stopping: bool = False
-    told_to_leave: bool = False
+    listed_as_leaving: bool = False
     document: ttypes.Document = attrs.field(
         factory=lambda: ttypes.Document(0, "", packed.EMPTY)
     )
     highest_fence: int = 0
     lease_ms: int = 0
     map_version: int = 0
-    fetched: set = attrs.field(factory=set)
+    fetched_experts: set = attrs.field(factory=set)
 
     @classmethod
     def from_config(cls, settings, reactor, counters):
-        """An agent that has not yet been heard by control."""
+        """The state of an agent that has not sent a heartbeat yet."""
         announcer = announce.Announcer.from_config(reactor, settings.controls, counters)
         ms_clock = clock.Clock(reactor)
         return cls(
@@ -95,16 +100,16 @@
 
     @property
     def draining(self):
-        """Whether new work is refused: at a stop, or by the document."""
-        return self.stopping or self.told_to_leave
+        """Whether new work is refused: stopping, or listed as leaving."""
+        return self.stopping or self.listed_as_leaving
 
     def refuse(self, reason, retry_after_ms=DRAIN_RETRY_AFTER_MS):
-        """Count and raise a certain refusal."""
+        """Count a refusal under *reason* and raise ``Refused`` (not executed)."""
         self.counters.refused(reason)
         raise ttypes.Refused(reason=reason, retry_after_ms=retry_after_ms)
 
     def load(self):
-        """Work in flight: open streams plus calls."""
+        """Number of open streams and calls in flight."""
         return self.streams.in_flight() + self.calls_in_flight
 
 
@@ -126,7 +131,7 @@
             state.refuse("not_an_engine")
         stream = state.streams.open(order.request_id)
         state.counters.incr("started")
-        pump(self.reactor, state, order, stream)
+        feed_stream(self.reactor, state, order, stream)
         return None
 
     @defer.inlineCallbacks
@@ -135,7 +140,7 @@
         if stream is None:
             self.state.refuse("unknown_request", 0)
         if offset >= len(stream.tokens) and not stream.done:
-            changed = stream.changed()
+            changed = stream.next_change()
             timer = self.reactor.callLater(
                 clock.seconds(wait_ms), lambda: changed.called or changed.callback(None)
             )
@@ -180,10 +185,12 @@
         finally:
             state.calls_in_flight -= 1
         if not idempotent:
-            became = {"done": keys.DONE, "not_run": ""}.get(
+            key_state = {"done": keys.DONE, "not_run": ""}.get(
                 result.outcome, keys.UNKNOWN
             )
-            calls.settle(state, order, became, result.status, result.body_json)
+            calls.record_outcome(
+                state, order, key_state, result.status, result.body_json
+            )
         return result
 
     def claim(self, key):
@@ -191,24 +198,26 @@
         return calls.record_message(prior)
 
     def settle(self, key, record):
-        self.state.keys.settle(key, record.state, record.status, record.body_json)
+        self.state.keys.record_outcome(
+            key, record.state, record.status, record.body_json
+        )
 
     def lookup(self, key):
         return calls.record_message(self.state.keys.by_key.get(key))
 
 
-def pump(reactor, state, order, stream):
-    """Feed *stream* from the engine, resuming after a broken connection.
+def feed_stream(reactor, state, order, stream):
+    """Fill *stream* from the engine, resuming after a broken connection.
 
-    A dropped engine connection would otherwise leave the caller with half an
-    answer; the engine's streams are resumable from an offset, so the agent
-    asks again from the tokens it already has, a few times, before it ends
-    the stream with an error.
+    Without this, a dropped engine connection would truncate the caller's
+    response. Engine streams can be resumed from an offset, so the agent requests
+    the rest up to ``RESUME_ATTEMPTS`` times in all before it ends the stream with an
+    error.
     """
 
     @defer.inlineCallbacks
     def run():
-        for _ in range(RESUME_TRIES):
+        for _ in range(RESUME_ATTEMPTS):
             try:
                 yield read_engine(state, order, stream)
                 return
@@ -223,13 +232,17 @@
 
 @defer.inlineCallbacks
 def read_engine(state, order, stream):
-    """One streamed POST to the engine from ``len(stream.tokens)``."""
+    """Read tokens from the engine by one POST, from ``len(stream.tokens)`` on.
+
+    Raises ``errors.OutcomeUnknown`` if the engine's response ends without its final
+    line.
+    """
     payload = {
         "request_id": order.request_id,
         "prompt": order.prompt,
         "max_tokens": order.max_tokens,
         "priority": order.priority,
-        "topic": topic_of(order),
+        "topic": parse_topic(order),
         "resume_from": len(stream.tokens),
     }
     response = yield treq.post(
@@ -257,18 +270,18 @@
     stream.finish()
 
 
-def topic_of(order):
-    """The expert topic a request leans to, from its workspace and prompt."""
+def parse_topic(order):
+    """The expert topic number in a prompt that starts with ``#<number>``, else 0."""
     head = order.prompt.split(" ", 1)[0]
     return int(head[1:]) if head.startswith("#") and head[1:].isdigit() else 0
 
 
 @defer.inlineCallbacks
 def heartbeat(state):
-    """Send one heartbeat and take a newer document from its reply."""
+    """Send one heartbeat and apply a newer document from its reply."""
     settings = state.settings
     host, port = settings.announced or (settings.host, settings.port)
-    beat = ttypes.Heartbeat(
+    message = ttypes.Heartbeat(
         endpoint_id=settings.endpoint_id,
         zone=settings.zone,
         host=host,
@@ -280,26 +293,29 @@
         incarnation=settings.incarnation,
         group=settings.group,
     )
-    reply = yield state.announcer.send_heartbeat(beat)
+    reply = yield state.announcer.send_heartbeat(message)
     if reply is not None:
         state.lease_ms = reply.lease_ms
-        take_document(state, reply.document)
+        apply_document(state, reply.document)
+
 
+def apply_document(state, document):
+    """Put *document* in force if it is newer than the current one.
 
-def take_document(state, document):
-    """Adopt *document* if it is newer than the one in force; never go back."""
+    Also updates whether the document lists this endpoint as leaving.
+    """
     if document is None or document.version <= state.document.version:
         return
     state.document = document
     log.info("document_in_force", version=document.version)
-    leaving = balance.body_of(document).get("leaving", [])
-    if state.told_to_leave != (state.settings.endpoint_id in leaving):
-        state.told_to_leave = not state.told_to_leave
-        log.info("told_to_leave", leaving=state.told_to_leave)
+    leaving = rebalance_loop.decode_body(document).get("leaving", [])
+    if state.listed_as_leaving != (state.settings.endpoint_id in leaving):
+        state.listed_as_leaving = not state.listed_as_leaving
+        log.info("told_to_leave", leaving=state.listed_as_leaving)
 
 
-def heartbeats(reactor, state):
-    """Heartbeat every ``HEARTBEAT_MS`` until the reactor stops."""
+def start_heartbeats(reactor, state):
+    """Send a heartbeat every ``HEARTBEAT_MS`` until the reactor stops."""
     loop = task.LoopingCall(heartbeat, state)
     loop.clock = reactor
     loop.start(clock.seconds(HEARTBEAT_MS))
@@ -308,7 +324,10 @@
 
 @defer.inlineCallbacks
 def drain(reactor, state):
-    """Stop taking work, tell control at once, let work in flight finish."""
+    """Refuse new work, notify control at once, wait for work in flight.
+
+    Waits for ``drain_timeout_ms`` at most, then ``LINGER_MS`` for the last reads.
+    """
     if state.stopping:
         return
     state.stopping = True
@@ -317,21 +336,21 @@
     deadline = state.clock.now() + state.settings.drain_timeout_ms
     while state.load() and state.clock.now() < deadline:
         yield task.deferLater(reactor, 0.05, lambda: None)
-    # The entry may have all of an answer but its end: gone at once, the agent
-    # would leave it with 300 of 300 tokens and an unknown outcome.
+    # The entry may have read all tokens of a response but not its end. If the agent
+    # exited now, the entry would have 300 of 300 tokens and an unknown outcome.
     yield task.deferLater(reactor, clock.seconds(LINGER_MS), lambda: None)
     yield heartbeat(state)
     log.info("drained", left=state.load())
 
 
 def run(reactor, settings, counters):
-    """Start an agent: its thrift server and its heartbeats; returns its state."""
+    """Start an agent's thrift server, heartbeats and rebalancing; its ``State``."""
     state = State.from_config(settings, reactor, counters)
     rpc.serve(
         reactor, Agent.Processor(Handler(state, reactor)), settings.port, settings.host
     )
-    heartbeats(reactor, state)
+    start_heartbeats(reactor, state)
     if settings.kind == "engine":
-        balance.rebalancing(reactor, state)
+        rebalance_loop.start_rebalancing(reactor, state)
     log.info("started", endpoint_id=settings.endpoint_id, zone=settings.zone)
     return state
--- a/dunlinpoint/cli/ctl.py
+++ b/dunlinpoint/cli/ctl.py
@@ -1,19 +1,20 @@
-"""``dunlinctl``: the operators' tool.
+"""``dunlinctl``: the operators' command-line tool.
 
 - ``dunlinctl validate FILE`` checks a document and lists every problem.
 - ``dunlinctl apply FILE --expect N --controls H:P,...`` proposes the
-  document as the version after ``N``; a change id (``--change-id``, by
-  default the document's hash with ``N``) makes a resend after a lost answer
-  safe: control recognises it instead of applying it twice.
+  document as the version after ``N``. A change id (``--change-id``, by
+  default a hash of the document and ``N``) makes it safe to resend after a
+  lost reply: control recognises the id and doesn't apply the change twice.
 - ``dunlinctl show --controls ...`` prints each control's version in force.
-- ``dunlinctl members --controls ...`` lists the endpoints control knows.
-- ``dunlinctl drain ENDPOINT --controls ...`` writes the endpoint into the
-  document's ``leaving`` list (``--back`` takes it out again).
-- ``dunlinctl outcome KEY --controls ...`` tells what became of a
-  non-idempotent call, from the agents that keep its key.
-- ``dunlinctl suspects --controls ...`` lists the requests that endpoints ended under;
-  ``dunlinctl lift DIGEST --controls ...`` voids what is held against one.
-- ``dunlinctl explain REQUEST_ID FILES...`` tells a request's story from the
+- ``dunlinctl members --controls ...`` lists the endpoints each control knows.
+- ``dunlinctl drain ENDPOINT --controls ...`` adds the endpoint to the
+  document's ``leaving`` list (``--back`` removes it).
+- ``dunlinctl outcome KEY --controls ...`` prints the outcome of a
+  non-idempotent call, from the agents that hold its key.
+- ``dunlinctl suspects --controls ...`` lists the requests during which
+  endpoints crashed; ``dunlinctl lift DIGEST --controls ...`` clears the crash
+  reports of one of them.
+- ``dunlinctl explain REQUEST_ID FILES...`` prints a request's history from the
   logs of several processes.
 
 Exit codes: 0 done, 1 refused (conflict, invalid, no quorum), 2 bad usage.
@@ -39,12 +40,12 @@
 from dunlinpoint.wire.gen.dunlin import Agent, Control, ttypes
 
 TIMEOUT_MS = 5000
-# How many agents keep an idempotency key.
-KEEPERS = 2
+# Number of agents that hold an idempotency key: its owner and the backup.
+KEY_REPLICAS = 2
 
 
-def on_reactor(main):
-    """Run ``main(reactor)`` (a Deferred of an exit code) and exit with it."""
+def run_on_reactor(main):
+    """Run ``main(reactor)`` and exit with the code that its Deferred fires with."""
 
     @defer.inlineCallbacks
     def run(reactor):
@@ -56,7 +57,7 @@
 
 
 def links(reactor, controls):
-    """Links to every control at *controls* (``"h:p,..."``)."""
+    """A list of links to the controls at *controls* (``"host:port,..."``)."""
     return [
         rpc.Link(reactor, host, port, Control.Client, TIMEOUT_MS)
         for host, port in checks.addresses(controls, "controls")
@@ -64,6 +65,7 @@
 
 
 def controls_flag():
+    """The flag ``--controls``, by default ``DUNLIN_CONTROLS``."""
     return cappa.Arg(
         long=True, default=cappa.Env("DUNLIN_CONTROLS"), help="host:port,..."
     )
@@ -87,7 +89,8 @@
         print("valid")
 
 
-def change_id_of(text, expected):
+def derive_change_id(text, expected):
+    """A change id (24 hex digits), the same for the same document and version."""
     return hashlib.sha256(f"{expected}\n{text}".encode()).hexdigest()[:24]
 
 
@@ -96,7 +99,7 @@
     """Propose a document as the version after --expect."""
 
     file: str
-    expect: Annotated[int, cappa.Arg(long=True, help="version it was written on")]
+    expect: Annotated[int, cappa.Arg(long=True, help="version it is based on")]
     controls: Annotated[str, controls_flag()]
     change_id: Annotated[str, cappa.Arg(long=True, default="", help="resend key")]
 
@@ -108,20 +111,23 @@
         except config.DocumentError as exc:
             print(f"invalid: {exc}")
             sys.exit(1)
-        change_id = self.change_id or change_id_of(body, self.expect)
-        on_reactor(lambda reactor: self.send(reactor, change_id, body))
+        change_id = self.change_id or derive_change_id(body, self.expect)
+        run_on_reactor(lambda reactor: self.send(reactor, change_id, body))
 
     @defer.inlineCallbacks
     def send(self, reactor, change_id, body):
-        links_to = links(reactor, self.controls)
-        return (yield propose(links_to, self.expect, change_id, body))
+        control_links = links(reactor, self.controls)
+        return (yield propose(control_links, self.expect, change_id, body))
 
 
 @defer.inlineCallbacks
-def propose(links_to, expected, change_id, body):
-    """Try each control in turn until one answers; the exit code."""
+def propose(control_links, expected, change_id, body):
+    """Propose to each control in turn until one answers; fires with the exit code.
+
+    Prints the result as a line of JSON. *control_links* are the links to the controls.
+    """
     reasons = []
-    for link in links_to:
+    for link in control_links:
         try:
             result = yield link.call("apply", expected, change_id, body)
         except ttypes.Refused as refused:
@@ -140,20 +146,23 @@
 
 @defer.inlineCallbacks
 def views(reactor, controls, bodies=False):
-    """``(address, View or error)`` from every control."""
+    """Fires with a list of ``(address, View or WireError)``, one per control.
+
+    *bodies* asks for the document's body too.
+    """
     found = []
     for link in links(reactor, controls):
         try:
-            shown = yield link.call("view", "", 0, -1, 0, bodies, "", 0, False)
+            view = yield link.call("view", "", 0, -1, 0, bodies, "", 0, False)
         except errors.WireError as exc:
-            shown = exc
-        found.append((link.address, shown))
+            view = exc
+        found.append((link.address, view))
     return found
 
 
-def endpoints(shown):
-    """The members of a ``View`` that are endpoints."""
-    return [m for m in shown.members if m.kind != discovery.KIND]
+def endpoints(view):
+    """The members of the ``View`` *shown* that are endpoints."""
+    return [m for m in view.members if m.kind != discovery.KIND]
 
 
 @dataclass
@@ -163,18 +172,18 @@
     controls: Annotated[str, controls_flag()]
 
     def __call__(self):
-        on_reactor(self.show)
+        run_on_reactor(self.show)
 
     @defer.inlineCallbacks
     def show(self, reactor):
-        for address, shown in (yield views(reactor, self.controls)):
-            if isinstance(shown, Exception):
-                print(json.dumps({"control": address, "error": str(shown)}))
+        for address, view in (yield views(reactor, self.controls)):
+            if isinstance(view, Exception):
+                print(json.dumps({"control": address, "error": str(view)}))
                 continue
-            line = {"control": address, "id": shown.control_id}
-            line["version"] = shown.document.version
-            line["settled"] = shown.settled
-            line["members"] = len(endpoints(shown))
+            line = {"control": address, "id": view.control_id}
+            line["version"] = view.document.version
+            line["settled"] = view.settled
+            line["members"] = len(endpoints(view))
             print(json.dumps(line))
         return 0
 
@@ -186,14 +195,14 @@
     controls: Annotated[str, controls_flag()]
 
     def __call__(self):
-        on_reactor(self.members)
+        run_on_reactor(self.members)
 
     @defer.inlineCallbacks
     def members(self, reactor):
-        for address, shown in (yield views(reactor, self.controls)):
-            if isinstance(shown, Exception):
+        for address, view in (yield views(reactor, self.controls)):
+            if isinstance(view, Exception):
                 continue
-            for member in endpoints(shown):
+            for member in endpoints(view):
                 line = {"control": address, "endpoint_id": member.endpoint_id}
                 line.update(zone=member.zone, kind=member.kind)
                 line.update(draining=member.draining, version=member.config_version)
@@ -203,20 +212,20 @@
 
 @dataclass
 class Drain:
-    """Have an endpoint get no new work, through the document."""
+    """Stop new work from being sent to an endpoint, through the document."""
 
     endpoint: str
     controls: Annotated[str, controls_flag()]
-    back: Annotated[bool, cappa.Arg(long=True, default=False, help="take it back")]
+    back: Annotated[bool, cappa.Arg(long=True, default=False, help="undo the drain")]
 
     def __call__(self):
-        on_reactor(self.drain)
+        run_on_reactor(self.drain)
 
     @defer.inlineCallbacks
     def drain(self, reactor):
-        """Change the newest document that any control shows."""
-        shown = [v for _, v in (yield views(reactor, self.controls, bodies=True))]
-        documents = [v.document for v in shown if not isinstance(v, Exception)]
+        """Propose a change of the newest document at any control."""
+        found = [v for _, v in (yield views(reactor, self.controls, bodies=True))]
+        documents = [v.document for v in found if not isinstance(v, Exception)]
         if not documents:
             print(json.dumps({"accepted": False, "reason": "no control answers"}))
             return 1
@@ -229,34 +238,34 @@
         if not self.back:
             leaving.add(self.endpoint)
         body = config.dump(attrs.evolve(doc, leaving=sorted(leaving)))
-        change_id = change_id_of(body, newest.version)
-        links_to = links(reactor, self.controls)
-        return (yield propose(links_to, newest.version, change_id, body))
+        change_id = derive_change_id(body, newest.version)
+        control_links = links(reactor, self.controls)
+        return (yield propose(control_links, newest.version, change_id, body))
 
 
 @dataclass
 class Outcome:
-    """What became of a non-idempotent call, by its idempotency key."""
+    """Print the outcome of a non-idempotent call, by its idempotency key."""
 
     key: str
     controls: Annotated[str, controls_flag()]
 
     def __call__(self):
-        on_reactor(self.outcome)
+        run_on_reactor(self.outcome)
 
     @defer.inlineCallbacks
     def outcome(self, reactor):
-        """Ask the two agents that keep the key."""
+        """Query the two agents that hold the key."""
         members = {}
-        for _, shown in (yield views(reactor, self.controls)):
-            if not isinstance(shown, Exception):
-                members.update((m.endpoint_id, m) for m in shown.members)
+        for _, view in (yield views(reactor, self.controls)):
+            if not isinstance(view, Exception):
+                members.update((m.endpoint_id, m) for m in view.members)
         services = [m for m in members.values() if m.kind == "service"]
-        keepers = owners.owners(services, self.key)[:KEEPERS]
+        key_agents = owners.owners(services, self.key)[:KEY_REPLICAS]
         agents = rpc.Links(reactor, Agent.Client, TIMEOUT_MS)
-        for keeper in keepers:
+        for key_agent in key_agents:
             try:
-                found = yield agents.to(keeper.host, keeper.port).call(
+                found = yield agents.to(key_agent.host, key_agent.port).call(
                     "lookup", self.key
                 )
             except errors.WireError:
@@ -272,27 +281,27 @@
 
 @dataclass
 class Suspects:
-    """List the requests that endpoints ended under, as each control knows them."""
+    """List the requests during which endpoints crashed, as reported to each control."""
 
     controls: Annotated[str, controls_flag()]
 
     def __call__(self):
-        on_reactor(self.suspects)
+        run_on_reactor(self.suspects)
 
     @defer.inlineCallbacks
     def suspects(self, reactor):
-        for address, shown in (yield views(reactor, self.controls)):
-            if isinstance(shown, Exception):
+        for address, view in (yield views(reactor, self.controls)):
+            if isinstance(view, Exception):
                 continue
             found = registry.Registry()
-            for report in shown.reports:
+            for report in view.reports:
                 found.apply_report(report, 0)
             for digest, suspect in found.suspect_by_digest.items():
                 line = {"control": address, "digest": digest.hex()}
                 line["standing"] = suspect.suspect_status().value
                 line["age_ms_by_endpoint"] = {
-                    life: -ended_ms
-                    for life, ended_ms in suspect.ended_ms_by_incarnation.items()
+                    incarnation: -ended_ms
+                    for incarnation, ended_ms in suspect.ended_ms_by_incarnation.items()
                 }
                 print(json.dumps(line))
         return 0
@@ -300,7 +309,7 @@
 
 @dataclass
 class Lift:
-    """Void all that is held against a request, named by its digest."""
+    """Clear all crash reports of a request, by its digest."""
 
     digest: str
     controls: Annotated[str, controls_flag()]
@@ -310,26 +319,26 @@
             self.name = bytes.fromhex(self.digest)
         except ValueError:
             raise checks.SettingError(f"digest: {self.digest!r} is not hex") from None
-        on_reactor(self.lift)
+        run_on_reactor(self.lift)
 
     @defer.inlineCallbacks
     def lift(self, reactor):
-        """Tell every control; each that takes it tells the entries."""
-        told = 0
+        """Report the clearing to every control, which passes it on to the entries."""
+        notified = 0
         for link in links(reactor, self.controls):
             try:
                 yield link.call("report", [ttypes.CrashReport(self.name, "", 0)])
             except errors.WireError as exc:
                 print(json.dumps({"control": link.address, "error": str(exc)}))
             else:
-                told += 1
-        print(json.dumps({"digest": self.digest, "controls_told": told}))
-        return 0 if told else 1
+                notified += 1
+        print(json.dumps({"digest": self.digest, "controls_told": notified}))
+        return 0 if notified else 1
 
 
 @dataclass
 class Explain:
-    """Tell one request's story from the log files of several processes."""
+    """Print one request's history from the log files of several processes."""
 
     request_id: str
     files: list[str]
@@ -337,13 +346,13 @@
 
     def __call__(self):
         try:
-            lines = explain.story(explain.read(self.files), self.request_id)
+            lines = explain.history(explain.read(self.files), self.request_id)
         except OSError as exc:
             raise checks.SettingError(f"files: {exc}") from None
         for line in lines:
             print(json.dumps(line.fields) if self.json else line.text())
         if not lines:
-            hint = "no line bears this id: give the files of every entry"
+            hint = "no log line has this request id: give the log files of every entry"
             print(f"dunlinctl: {self.request_id}: {hint}", file=sys.stderr)
             sys.exit(1)
 
@@ -351,7 +360,7 @@
 @cappa.command(name="dunlinctl")
 @dataclass
 class Ctl:
-    """dunlinctl: steer dunlinpoint through its configuration document."""
+    """dunlinctl: operate dunlinpoint through its configuration document."""
 
     command: cappa.Subcommands[
         Validate | Apply | Show | Members | Drain | Outcome | Suspects | Lift | Explain
@@ -359,7 +368,7 @@
 
 
 def main(argv=None):
-    """Run the operators' tool."""
+    """Run ``dunlinctl``."""
     checks.invoke(Ctl, argv, "dunlinctl")
 
 
--- a/dunlinpoint/cli/daemon.py
+++ b/dunlinpoint/cli/daemon.py
@@ -1,13 +1,13 @@
 """The ``dunlinpoint`` daemon: one process, its role chosen by subcommand.
 
-Roles: ``entry``, ``agent``, ``control``, and the stand-ins ``engine``,
-``service``, ``weights``, and the fault-injecting ``proxy``. Every setting is
-a flag with an environment variable beside it (``DUNLIN_<NAME>``); all are
-checked before the process listens, and a bad one stops it with exit code 2
-and a line naming the setting.
-
-SIGTERM is a planned stop: the process stops taking work, lets what is in
-flight finish, tells control, and exits.
+Roles: ``entry``, ``agent``, ``control``, the stand-ins ``engine``, ``service``
+and ``weights``, and the fault-injecting ``proxy``. Every setting is a flag with
+a corresponding environment variable (``DUNLIN_<NAME>``). All are validated
+before the process listens; an invalid one ends it with exit code 2 and a line
+naming the setting.
+
+SIGTERM is a planned stop: the process refuses new work, finishes requests in
+flight, notifies control, and exits.
 """
 
 from dataclasses import dataclass
@@ -31,12 +31,13 @@
 
 
 def listen_http(port, host, web):
+    """Serve the Klein app *web* on *host*:*port*."""
     return reactor.listenTCP(port, server.Site(web.resource()), interface=host)
 
 
 @defer.inlineCallbacks
 def wait_idle(busy, deadline_ms):
-    """Wait until ``busy()`` is 0 or *deadline_ms* passed."""
+    """Wait until ``busy()`` is 0, but not longer than *deadline_ms*."""
     waited = 0
     while busy() and waited < deadline_ms:
         yield task.deferLater(reactor, 0.05, lambda: None)
@@ -45,7 +46,7 @@
 
 @dataclass
 class Entry:
-    """Callers' HTTP front: routes requests to endpoint agents."""
+    """HTTP server for callers: routes requests to endpoint agents."""
 
     zone: flags.Zone
     port: Annotated[str, flags.flag("DUNLIN_PORT", "HTTP port for callers", 8080)]
@@ -73,9 +74,9 @@
         @defer.inlineCallbacks
         def stop():
             entry.lifecycle.close()
-            ends_ms = entry.clock.now() + ENTRY_DRAIN_MS
+            deadline_ms = entry.clock.now() + ENTRY_DRAIN_MS
             yield wait_idle(lambda: entry.in_flight, ENTRY_DRAIN_MS)
-            yield site.close_all(entry.clock, ends_ms)
+            yield site.close_all(entry.clock, deadline_ms)
 
         reactor.addSystemEventTrigger("before", "shutdown", stop)
         entry_app.log.info("started", zone=zone, port=port)
@@ -98,7 +99,7 @@
     host: flags.Host
     incarnation: Annotated[str, flags.flag("DUNLIN_INCARNATION", "restart counter", 0)]
     announce: Annotated[
-        str, flags.flag("DUNLIN_ANNOUNCE", "host:port others reach it at", "")
+        str, flags.flag("DUNLIN_ANNOUNCE", "host:port reachable by others", "")
     ]
     weights: Annotated[str, flags.flag("DUNLIN_WEIGHTS", "weight store URL", "")]
     statsd: flags.Statsd
@@ -151,10 +152,10 @@
         bool, cappa.Arg(long=True, default=False, help="first start: vote at once")
     ]
     joins: Annotated[
-        bool, cappa.Arg(long=True, default=False, help="added later: found nothing")
+        bool, cappa.Arg(long=True, default=False, help="added later: only join peers")
     ]
     host: Annotated[
-        str, flags.flag("DUNLIN_HOST", "own address, as peers name it", "127.0.0.1")
+        str, flags.flag("DUNLIN_HOST", "own address, as peers see it", "127.0.0.1")
     ]
     statsd: flags.Statsd
     metrics: flags.Metrics
@@ -182,13 +183,13 @@
 
 @dataclass
 class Engine:
-    """Stand-in: a model engine, a group of ranks on one expert map."""
+    """Stand-in: a model engine, a group of ranks with one expert map."""
 
     port: Annotated[str, flags.flag("DUNLIN_PORT", "HTTP port")]
     ranks: Annotated[int, flags.flag("DUNLIN_RANKS", "ranks in the group", 4)]
-    experts: Annotated[int, flags.flag("DUNLIN_EXPERTS", "experts a layer", 16)]
+    experts: Annotated[int, flags.flag("DUNLIN_EXPERTS", "experts per layer", 16)]
     ignore_fence: Annotated[
-        bool, cappa.Arg(long=True, default=False, help="obey stale orders")
+        bool, cappa.Arg(long=True, default=False, help="accept stale commands")
     ]
     host: flags.Host
 
@@ -238,11 +239,11 @@
 
 @dataclass
 class Proxy:
-    """Fault-injecting TCP proxy for tests, steered over its own HTTP port."""
+    """Fault-injecting TCP proxy for tests, controlled over a separate HTTP port."""
 
     listen: Annotated[str, flags.flag("DUNLIN_LISTEN", "port to accept on")]
     target: Annotated[str, flags.flag("DUNLIN_TARGET", "host:port to forward to")]
-    steer: Annotated[str, flags.flag("DUNLIN_STEER", "HTTP port for fault orders")]
+    steer: Annotated[str, flags.flag("DUNLIN_STEER", "HTTP port for fault commands")]
 
     def __call__(self):
         fault = proxy.Proxy(target=checks.address(self.target, "target"))
@@ -265,5 +266,5 @@
 
 def main(argv=None):
     """Run the daemon; exit code 2 on a bad setting."""
-    clock.steady(reactor)
+    clock.use_boot_clock(reactor)
     checks.invoke(Daemon, argv, "dunlinpoint")
--- a/dunlinpoint/cli/explain.py
+++ b/dunlinpoint/cli/explain.py
@@ -1,18 +1,18 @@
-"""One request's story, from the log lines of several processes.
+"""The history of one request, from the log lines of several processes.
 
-Lines that bear the request's id come first in order of time; around them, the
-lines that changed what those processes believed (members, groups, documents,
-voters), since those decided what became of it.
+These are, in order of time, the lines with the request's id and the lines about
+changes of state known to those processes (members, groups, documents, voters), since
+that state determined the request's outcome.
 """
 
 import json
 
 import attrs
 
-# How long before a request's first line a change of belief may matter: the
-# lease of a member that has fallen silent.
-BEFORE_S = 5.0
-BELIEFS = {
+# How long before a request's first line a state change may have affected it: the
+# lease of a member that has become unresponsive.
+LOOKBACK_S = 5.0
+STATE_CHANGES = {
     "member",
     "left",
     "lease_ended",
@@ -28,20 +28,20 @@
     "started",
     "lines_lost",
 }
-# What an endpoint said of itself, which decides for requests that were not sent to it.
-NOTICES = {"endpoint_limit", "endpoint_rests", "endpoint_leaves"}
+# Endpoint signals. They also affect requests that were not sent to the endpoint.
+ENDPOINT_SIGNALS = {"endpoint_limit", "endpoint_rests", "endpoint_leaves"}
 
 
 @attrs.frozen
 class Line:
-    """One log line: when, from which file, and its fields."""
+    """One log line: Unix time in seconds, path of its file, fields."""
 
     at_s: float
     source: str
     fields: dict
 
     def text(self):
-        """The line for a reader: time, source, event, fields."""
+        """The line as text: time, source, role, event, other fields."""
         hidden = {"t", "role", "event", "level"}
         shown = [f"{k}={v}" for k, v in self.fields.items() if k not in hidden]
         role, event = self.fields.get("role", ""), self.fields.get("event", "")
@@ -49,7 +49,7 @@
 
 
 def read(paths):
-    """Every structured line of the files at *paths*; other text is passed over."""
+    """All structured lines of the files at *paths*, by time; skips other text."""
     lines = []
     for path in paths:
         with open(path, errors="replace") as source:
@@ -62,23 +62,26 @@
     return sorted(lines, key=lambda line: line.at_s)
 
 
-def story(lines, request_id):
-    """The lines that tell of *request_id*, with the beliefs around them."""
+def history(lines, request_id):
+    """The lines of *request_id* and the state changes that may have affected it.
+
+    *lines* must be in order of time. Returns ``[]`` if no line has the id.
+    """
     own = [line for line in lines if line.fields.get("request") == request_id]
     if not own:
         return []
-    first, last = own[0].at_s - BEFORE_S, own[-1].at_s
+    first, last = own[0].at_s - LOOKBACK_S, own[-1].at_s
     tried = {line.fields.get("endpoint_id") for line in own}
     return [
         line
         for line in lines
-        if line in own or (first <= line.at_s <= last and _matters(line, tried))
+        if line in own or (first <= line.at_s <= last and _is_relevant(line, tried))
     ]
 
 
-def _matters(line, tried):
-    """Whether what *line* tells may have decided for a request at *tried*."""
+def _is_relevant(line, tried):
+    """Whether *line* may have affected a request sent to the endpoints *tried*."""
     event = line.fields.get("event")
-    if event in NOTICES:
+    if event in ENDPOINT_SIGNALS:
         return True
-    return event in BELIEFS and line.fields.get("endpoint_id") in tried | {None}
+    return event in STATE_CHANGES and line.fields.get("endpoint_id") in tried | {None}
--- a/dunlinpoint/platform/__main__.py
+++ b/dunlinpoint/platform/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m dunlinpoint.platform``: where every process on the platform begins."""
+"""Entry point of ``python -m dunlinpoint.platform``, for each platform process."""
 
 from dunlinpoint import startup
 
@@ -10,5 +10,5 @@
 from dunlinpoint.platform import commands  # noqa: E402
 
 if __name__ == "__main__":
-    clock.steady(reactor)
+    clock.use_boot_clock(reactor)
     commands.main()
--- a/dunlinpoint/platform/admin.py
+++ b/dunlinpoint/platform/admin.py
@@ -1,4 +1,4 @@
-"""The platform's calls at a control instance: servers' and operators'."""
+"""HTTP API of a control instance for the platform's servers and operators."""
 
 import json
 
@@ -8,7 +8,7 @@
 from dunlinpoint import logs
 from dunlinpoint.config import document as config
 from dunlinpoint.control import agreement, operators
-from dunlinpoint.platform import dialect, documents, fields
+from dunlinpoint.platform import documents, fields, protocol
 
 log = logs.logger("control")
 
@@ -16,7 +16,7 @@
 
 
 def reply(request, status, body):
-    """A JSON answer with *status*."""
+    """A JSON response with *status*; returns its body (``bytes``)."""
     request.setResponseCode(status)
     request.setHeader(b"content-type", JSON)
     return json.dumps(body).encode()
@@ -25,28 +25,28 @@
 def make_app(reactor, state):
     """The Klein app over a control instance's *state*."""
     web = Klein()
-    numbers = operators.NumberCache()
+    number_cache = operators.NumberCache()
 
     def refuse(request, endpoint_id, error):
-        """Answer a call of an endpoint that no sound writer sends."""
+        """Answer 400 to a malformed call of an endpoint; count and log it."""
         state.counters.refused("foreign_heartbeat")
         log.warning(
             "foreign_heartbeat",
-            endpoint_id=endpoint_id[: fields.LONGEST_NAME],
+            endpoint_id=endpoint_id[: fields.MAX_NAME_LENGTH],
             reason=str(error),
         )
         return reply(request, 400, {"error": str(error)})
 
-    @web.route(dialect.HEARTBEAT, methods=["POST"])
+    @web.route(protocol.HEARTBEAT_PATH, methods=["POST"])
     def heartbeat(request, endpoint_id):
         try:
-            beat = documents.to_heartbeat(endpoint_id, request.content.read())
+            message = documents.to_heartbeat(endpoint_id, request.content.read())
         except fields.FieldError as exc:
             return refuse(request, endpoint_id, exc)
-        state.renew(beat)
+        state.renew(message)
         return reply(request, 200, {})
 
-    @web.route(dialect.DEREGISTER, methods=["POST"])
+    @web.route(protocol.DEREGISTER_PATH, methods=["POST"])
     def deregister(request, endpoint_id):
         try:
             incarnation = documents.to_incarnation(request.content.read())
@@ -55,7 +55,7 @@
             return refuse(request, endpoint_id, exc)
         return reply(request, 200, {})
 
-    @web.route(dialect.REPLACE, methods=["POST"])
+    @web.route(protocol.REPLACE_PATH, methods=["POST"])
     @defer.inlineCallbacks
     def replace(request):
         try:
@@ -64,7 +64,7 @@
             state.counters.refused("invalid_document")
             return reply(request, 400, {"error": str(exc)})
         arrived_ms = state.clock.now()
-        outcome = yield operators.replace(reactor, state.peers, numbers, doc)
+        outcome = yield operators.replace(reactor, state.peers, number_cache, doc)
         took_ms = state.clock.now() - arrived_ms
         state.counters.observe_ms("agreement", took_ms)
         log.info(
@@ -80,7 +80,7 @@
         state.counters.refused(outcome.reason)
         return reply(request, 503, {"error": outcome.reason})
 
-    @web.route(dialect.READ, methods=["GET"])
+    @web.route(protocol.READ_PATH, methods=["GET"])
     @defer.inlineCallbacks
     def read(request):
         decision = yield agreement.read(state.peers)
--- a/dunlinpoint/platform/entry.py
+++ b/dunlinpoint/platform/entry.py
@@ -10,26 +10,27 @@
 from dunlinpoint.platform import (
     addresses,
     commands,
-    dialect,
     endpoint_signals,
+    protocol,
     ready,
     settings,
 )
 
 log = logs.logger("entry")
 
-# A stopping entry goes on taking connections while the balancer finds out.
+# A stopping entry still accepts connections until the load balancer in front of it
+# has noticed that it is not ready.
 ACCEPT_AFTER_STOP_MS = 3000
-# Streams last up to the whole grace time; what is left is for the exit itself.
+# Part of the grace time kept for the exit; streams may use all of the rest.
 STOP_MARGIN_MS = 300
-STEP_MS = 50
-# The part of the time in which a key taken away must stop working that an
-# entry may go unvouched; the rest covers the way of the last poll.
+POLL_INTERVAL_MS = 50
+# Share of the key revocation time for which an entry serves without confirmation of
+# its document; the rest covers the round trip of the last poll.
 KEY_LEASE_SHARE = 0.8
 
 
-def start(coroutine):
-    """A plain function that runs *coroutine* and returns its Deferred."""
+def deferred_function(coroutine):
+    """A function that runs *coroutine* and returns its Deferred."""
     return lambda: defer.ensureDeferred(coroutine())
 
 
@@ -39,48 +40,51 @@
     host, port = checks.address(command.listen, "listen")
     ready_host, ready_port = checks.address(command.ready, "ready")
     inner_port = addresses.first_port(command.inner_ports)
-    controls = addresses.inner(checks.addresses(command.seeds, "seeds"), inner_port)
-    lease_ms = int(addresses.whole(command.revoke_ms, "revoke-ms") * KEY_LEASE_SHARE)
-    grace_ms = addresses.whole(command.grace_s, "grace-s") * clock.MS_PER_SECOND
+    controls = addresses.with_port(checks.addresses(command.seeds, "seeds"), inner_port)
+    lease_ms = int(
+        addresses.whole_number(command.revoke_ms, "revoke-ms") * KEY_LEASE_SHARE
+    )
+    grace_ms = addresses.whole_number(command.grace_s, "grace-s") * clock.MS_PER_SECOND
     logs.setup()
     entry_view = view.View.from_config(reactor, zone, controls)
     entry_view.follower = command.listen
-    forward = state.Forwarder.from_config(
+    forwarder = state.Forwarder.from_config(
         reactor,
         entry_view,
         flags.counters(reactor, command.metrics),
-        dialect.HEADERS,
-        endpoint_signals.from_answer,
+        protocol.HEADERS,
+        endpoint_signals.from_response,
         lease_ms,
     )
     entry_view.follow(reactor)
     settings.watch(
-        reactor, lambda seeds: entry_view.set_seeds(addresses.inner(seeds, inner_port))
+        reactor,
+        lambda seeds: entry_view.set_seeds(addresses.with_port(seeds, inner_port)),
     )
-    callers, listening = site.listen(reactor, forward, host, port)
+    callers_site, listening_port = site.listen(reactor, forwarder, host, port)
 
     def is_ready():
         return (
-            forward.table.version > 0
-            and not forward.lifecycle.is_draining()
-            and not forward.key_lease_ended()
+            forwarder.table.version > 0
+            and not forwarder.lifecycle.is_draining()
+            and not forwarder.key_lease_ended()
         )
 
     web = server.Site(ready.make_app(is_ready).resource())
     reactor.listenTCP(ready_port, web, interface=ready_host)
 
     async def stop():
-        forward.lifecycle.drain()
-        ends = forward.clock.now() + grace_ms - STOP_MARGIN_MS
-        log.info("draining", in_flight=forward.in_flight)
-        await forward.clock.sleep(min(ACCEPT_AFTER_STOP_MS, grace_ms // 3))
-        forward.lifecycle.close()
-        await listening.stopListening()
-        while forward.in_flight and forward.clock.now() < ends:
-            await forward.clock.sleep(STEP_MS)
-        await callers.close_all(forward.clock, ends)
-        log.info("stopped", counters=forward.counters.snapshot())
+        forwarder.lifecycle.drain()
+        deadline_ms = forwarder.clock.now() + grace_ms - STOP_MARGIN_MS
+        log.info("draining", in_flight=forwarder.in_flight)
+        await forwarder.clock.sleep(min(ACCEPT_AFTER_STOP_MS, grace_ms // 3))
+        forwarder.lifecycle.close()
+        await listening_port.stopListening()
+        while forwarder.in_flight and forwarder.clock.now() < deadline_ms:
+            await forwarder.clock.sleep(POLL_INTERVAL_MS)
+        await callers_site.close_all(forwarder.clock, deadline_ms)
+        log.info("stopped", counters=forwarder.counters.snapshot())
 
-    reactor.addSystemEventTrigger("before", "shutdown", start(stop))
+    reactor.addSystemEventTrigger("before", "shutdown", deferred_function(stop))
     log.info("started", zone=zone, port=port)
     reactor.run()
--- a/dunlinpoint/platform/fields.py
+++ b/dunlinpoint/platform/fields.py
@@ -1,30 +1,31 @@
-"""Checks of single fields of the platform's bodies.
+"""Validation of single fields of the platform's bodies.
 
-What comes in may be from another writer: not JSON, nested without end, a number
-where there should be a name, a name that no encoder takes. A value that passed
-unchecked would fail where our own messages are written, and with it every member
-list that holds it; so each is checked here and an error names the field.
+A body may come from a foreign client: not JSON, nested too deeply, with a number
+in place of a name, or with a name that cannot be encoded. An invalid value that
+was accepted would fail when thrift messages are serialised, and with it every
+member list that contains it. So each field is validated here, and an error names
+the field.
 """
 
 import ipaddress
 import json
 
-LARGEST_I32 = 2**31 - 1
-LARGEST_I64 = 2**63 - 1
-LARGEST_PORT = 2**16 - 1
-# Longer than any name or body that a sound writer sends: a name is a few dozen
-# characters, a heartbeat a few hundred bytes, a group of 72 ranks adds nothing.
-LONGEST_NAME = 256
-LARGEST_BODY = 64 * 1024
+MAX_I32 = 2**31 - 1
+MAX_I64 = 2**63 - 1
+MAX_PORT = 2**16 - 1
+# Far above valid names and bodies: a name has a few dozen characters and a heartbeat
+# a few hundred bytes, also in a group of 72 ranks.
+MAX_NAME_LENGTH = 256
+MAX_BODY_BYTES = 64 * 1024
 
 
 class FieldError(ValueError):
-    """A body that cannot be read, or the name of a field that is wrong."""
+    """An invalid body: its text is the problem, or the name of the invalid field."""
 
 
-def table(body):
-    """The JSON object that *body* (``bytes``) holds."""
-    if len(body) > LARGEST_BODY:
+def json_object(body):
+    """The JSON object in *body* (``bytes``) as a ``dict``."""
+    if len(body) > MAX_BODY_BYTES:
         raise FieldError("body too long")
     try:
         raw = json.loads(body)
@@ -36,8 +37,8 @@
 
 
 def name(value, field):
-    """*value* as a name: a short text that can be written as UTF-8."""
-    if not isinstance(value, str) or not 0 < len(value) <= LONGEST_NAME:
+    """*value* if it is a valid name: non-empty, short, encodable as UTF-8."""
+    if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_LENGTH:
         raise FieldError(field)
     try:
         value.encode()
@@ -46,17 +47,17 @@
     return value
 
 
-def whole(value, field, least=0, most=LARGEST_I64):
-    """*value* as a whole number from *least* to *most*."""
+def whole_number(value, field, minimum=0, maximum=MAX_I64):
+    """*value* if it is an ``int`` from *least* to *most*."""
     if isinstance(value, bool) or not isinstance(value, int):
         raise FieldError(field)
-    if not least <= value <= most:
+    if not minimum <= value <= maximum:
         raise FieldError(field)
     return value
 
 
 def address(value, field):
-    """The IPv4 host and the port of *value*, ``"host:port"``."""
+    """``(host, port)`` from *value*, ``"host:port"`` with an IPv4 host."""
     host, _, port = name(value, field).rpartition(":")
     if not (port.isascii() and port.isdigit()):
         raise FieldError(field)
@@ -64,4 +65,4 @@
         ipaddress.IPv4Address(host)
     except ValueError as exc:
         raise FieldError(field) from exc
-    return host, whole(int(port), field, 1, LARGEST_PORT)
+    return host, whole_number(int(port), field, 1, MAX_PORT)
