--- a/dunlinpoint/soak/__init__.py
+++ b/dunlinpoint/soak/__init__.py
@@ -4,7 +4,7 @@
 module          holds
 ==============  ==========================================================
 ``servers``     back ends that misbehave on their own, and what they ran
-``world``       the processes of one run, each on a loopback address of its own
+``cluster``       the processes of one run, each on a loopback address of its own
 ``notices``     back ends that say what they take, and whether it was heeded
 ``faults``      the schedule of faults that a seed gives
 ``callers``     callers and the operator, and what they saw
--- a/dunlinpoint/soak/callers.py
+++ b/dunlinpoint/soak/callers.py
@@ -12,49 +12,49 @@
 
 import attrs
 
-from dunlinpoint.soak import servers, world
+from dunlinpoint.soak import cluster, servers
 
 CALLERS = 6
-THINK_S = (0.01, 0.15)
+THINK_TIME_S = (0.01, 0.15)
 DEADLINE_MS = 3000
 # An operator sends a document again until it is acknowledged.
-SEND_ROUNDS = 20
-SEND_PAUSE_S = 0.2
-KINDS = ("/once/", "/often/", "/stream/")
+SEND_ATTEMPTS = 20
+RESEND_INTERVAL_S = 0.2
+PATH_PREFIXES = ("/once/", "/often/", "/stream/")
 
 
 @attrs.define
-class Seen:
+class RequestResult:
     """One request as its caller saw it end; *status* is 0 without an answer."""
 
     request_id: str
-    kind: str
+    path_prefix: str
     entry: str
-    life: int
+    incarnation: int
     sent_s: float
     ended_s: float
     status: int
-    mark: str | None
+    signature: str | None
     body: bytes
-    whole: bool
+    is_complete: bool
 
 
 @attrs.define(eq=False)
 class Caller:
     """One caller with its kept connection."""
 
-    world: world.World
+    cluster: cluster.Cluster
     number: int
-    seen: list
+    results: list
     rng: random.Random
     connection: http.client.HTTPConnection | None = None
-    node: world.Node | None = None
-    count: int = 0
+    node: cluster.Node | None = None
+    request_count: int = 0
 
     def run(self):
         """Send requests one after the other until the run ends."""
-        while not self.world.ended.wait(self.rng.uniform(*THINK_S)):
-            self.one()
+        while not self.cluster.stop_event.wait(self.rng.uniform(*THINK_TIME_S)):
+            self.send_request()
         self.close()
 
     def close(self):
@@ -63,54 +63,63 @@
             self.connection.close()
             self.connection = None
 
-    def one(self):
+    def send_request(self):
         """Send one request and note how it ended."""
         if self.connection is None:
-            self.node = self.rng.choice(self.world.entries)
+            self.node = self.rng.choice(self.cluster.entries)
             self.connection = http.client.HTTPConnection(
-                self.node.host, self.world.port, timeout=DEADLINE_MS / 1000 + 1
+                self.node.host, self.cluster.port, timeout=DEADLINE_MS / 1000 + 1
             )
-        self.count += 1
-        kind = self.rng.choice(KINDS)
-        request_id = f"{self.number}-{self.count}"
-        life, sent_s = self.node.lives, time.monotonic()
-        status, mark, body, whole = self.exchange(kind, request_id)
+        self.request_count += 1
+        path_prefix = self.rng.choice(PATH_PREFIXES)
+        request_id = f"{self.number}-{self.request_count}"
+        incarnation, sent_s = self.node.start_count, time.monotonic()
+        status, signature, body, is_complete = self.exchange(path_prefix, request_id)
         ended_s = time.monotonic()
         name = self.node.name
-        self.seen.append(
-            Seen(
-                request_id, kind, name, life, sent_s, ended_s, status, mark, body, whole
+        self.results.append(
+            RequestResult(
+                request_id,
+                path_prefix,
+                name,
+                incarnation,
+                sent_s,
+                ended_s,
+                status,
+                signature,
+                body,
+                is_complete,
             )
         )
 
-    def exchange(self, kind, request_id):
+    def exchange(self, path_prefix, request_id):
         """``(status, mark, body, whole)`` of one request."""
         headers = {
-            "Host": world.HOST,
-            "Authorization": f"Bearer {world.KEY}",
-            servers.ID: request_id,
+            "Host": cluster.HOST,
+            "Authorization": f"Bearer {cluster.API_KEY}",
+            servers.ATTEMPT_ID_HEADER: request_id,
             "X-Dunlinpoint-Deadline-Ms": str(DEADLINE_MS),
         }
         try:
-            self.connection.request("POST", f"{kind}x", b"{}", headers)
+            self.connection.request("POST", f"{path_prefix}x", b"{}", headers)
             answer = self.connection.getresponse()
         except (OSError, http.client.HTTPException):
             self.close()
             return 0, None, b"", False
-        mark = answer.headers[servers.MARK]
+        signature = answer.headers[servers.SIGNATURE_HEADER]
         try:
-            body, whole = answer.read(), True
+            body, is_complete = answer.read(), True
         except http.client.IncompleteRead as exc:
-            body, whole = exc.partial, False
+            body, is_complete = exc.partial, False
         except (OSError, http.client.HTTPException):
-            body, whole = b"", False
-        if not whole or answer.will_close:
+            body, is_complete = b"", False
+        if not is_complete or answer.will_close:
             self.close()
-        return answer.status, mark, body, whole
+        return answer.status, signature, body, is_complete
 
 
 @attrs.define
-class Acked:
+class AcknowledgedDocument:
     """A document that a control acknowledged, and when."""
 
     version: int
@@ -118,16 +127,16 @@
 
 
 @attrs.define
-class Read:
+class DocumentRead:
     """A document that a control gave back, when asked and from which one."""
 
     version: int
-    asked_s: float
+    requested_s: float
     node: str
 
 
 @attrs.define
-class Drained:
+class DrainedBackend:
     """A back end whose leaving was acknowledged."""
 
     server_id: str
@@ -138,10 +147,10 @@
 class Operator:
     """Sends documents with growing numbers, and reads them back."""
 
-    world: world.World
+    cluster: cluster.Cluster
     rng: random.Random
     version: int = 0
-    acked: list = attrs.field(factory=list)
+    acknowledged: list = attrs.field(factory=list)
     reads: list = attrs.field(factory=list)
     drained: list = attrs.field(factory=list)
 
@@ -149,75 +158,83 @@
         """The document with this number."""
         routes = [
             {
-                "name": kind.strip("/"),
-                "host": world.HOST,
-                "pathPrefix": kind,
+                "name": path_prefix.strip("/"),
+                "host": cluster.HOST,
+                "pathPrefix": path_prefix,
                 "routeKind": routed,
                 "timeoutMs": DEADLINE_MS,
                 "service": "desk",
                 "maxAttempts": 2,
                 "resumable": routed == "streaming",
             }
-            for kind, routed in zip(
-                KINDS, ("non_idempotent", "idempotent", "streaming"), strict=True
+            for path_prefix, routed in zip(
+                PATH_PREFIXES,
+                ("non_idempotent", "idempotent", "streaming"),
+                strict=True,
             )
         ]
         return {
             "version": version,
             "routes": routes,
             "services": [{"name": "desk", "healthPath": "/healthz", "maxConns": 99}],
-            "tenants": [{"name": "brand", "apiKeys": [world.KEY]}],
+            "tenants": [{"name": "brand", "apiKeys": [cluster.API_KEY]}],
         }
 
-    def change(self, racing):
+    def replace_document(self, count):
         """Send *racing* documents at once, each to a control of its own."""
-        for _ in range(racing):
+        for _ in range(count):
             self.version += self.rng.randint(1, 3)
-            order = list(self.world.controls)
+            order = list(self.cluster.controls)
             self.rng.shuffle(order)
             args = self.version, order
-            threading.Thread(target=self.send, args=args, daemon=True).start()
+            threading.Thread(
+                target=self.send_until_acknowledged, args=args, daemon=True
+            ).start()
 
-    def send(self, version, order):
+    def send_until_acknowledged(self, version, order):
         """Send a document to one control after the other until one acknowledges."""
         body = json.dumps(self.document(version))
-        for node in order * SEND_ROUNDS:
-            if self.world.ended.is_set():
+        for node in order * SEND_ATTEMPTS:
+            if self.cluster.stop_event.is_set():
                 return
-            if self.put(node, body) == 200:
-                self.acked.append(Acked(version, time.monotonic()))
+            if self.put_document(node, body) == 200:
+                self.acknowledged.append(
+                    AcknowledgedDocument(version, time.monotonic())
+                )
                 return
-            time.sleep(SEND_PAUSE_S)
+            time.sleep(RESEND_INTERVAL_S)
 
-    def put(self, node, body):
+    def put_document(self, node, body):
         """Send a document to one control; its status, 0 without an answer."""
         path = "/api/config/replace"
         try:
-            return world.ask(node.host, self.world.admin_port, "POST", path, body)[0]
+            return cluster.http_request(
+                node.host, self.cluster.admin_port, "POST", path, body
+            )[0]
         except (OSError, http.client.HTTPException):
             return 0
 
     def read(self):
         """Ask every control for the document."""
-        for node in self.world.controls:
-            asked_s = time.monotonic()
+        for node in self.cluster.controls:
+            requested_s = time.monotonic()
             try:
-                status, _, body = world.ask(
-                    node.host, self.world.admin_port, "GET", "/api/config/read"
+                status, _, body = cluster.http_request(
+                    node.host, self.cluster.admin_port, "GET", "/api/config/read"
                 )
             except (OSError, http.client.HTTPException):
                 continue
             if status == 200:
                 number = json.loads(body)["version"]
-                self.reads.append(Read(number, asked_s, node.name))
+                self.reads.append(DocumentRead(number, requested_s, node.name))
 
     def drain(self, index):
         """Have one back end leave, if enough others stay."""
-        staying = [b for b in self.world.backends if not b.draining]
-        if len(staying) <= 2:
+        remaining = [b for b in self.cluster.backends if not b.draining]
+        if len(remaining) <= 2:
             return
-        backend = staying[index % len(staying)]
+        backend = remaining[index % len(remaining)]
         backend.draining = True
-        port = self.world.proxies[self.world.backends.index(backend)][1]
-        if self.world.announce(backend, port):
-            self.drained.append(Drained(backend.server_id, time.monotonic()))
+        port = self.cluster.proxies[self.cluster.backends.index(backend)][1]
+        if self.cluster.send_heartbeat(backend, port):
+            self.drained.append(DrainedBackend(backend.server_id, time.monotonic()))
--- a/dunlinpoint/soak/checks.py
+++ b/dunlinpoint/soak/checks.py
@@ -7,85 +7,92 @@
 
 from dunlinpoint.soak import servers
 
-DRAIN_S = 2.5
-IN_FORCE_S = 2.0
+DRAIN_GRACE_S = 2.5
+IN_FORCE_BOUND_S = 2.0
 # How long after a fault a process is not held to bounds in time.
-CALM_S = 4.0
-NOT_RUN = (408, 421, 429, 503)
+FAULT_GRACE_S = 4.0
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 # Moods of a back end in which it ends an answer before its end.
-BROKE_OFF = {"drop", "break"}
+TRUNCATING_MODES = {"drop", "break"}
 
 
-def broken(world, seen, operator):
+def violations(cluster, results, operator):
     """Every promise that was broken, as lines of text."""
-    runs = {}
-    for run in world.runs:
-        runs.setdefault(run.request_id, []).append(run)
+    executions = {}
+    for execution in cluster.executions:
+        executions.setdefault(execution.request_id, []).append(execution)
     found = []
-    for request in seen:
-        found += _own_answer(request)
-        found += _at_most_once(request, runs.get(request.request_id, []))
-        found += _planned_stop(world, request, runs.get(request.request_id, []))
-    found += _no_way_back(operator)
-    found += _drained(world, operator)
+    for request in results:
+        found += _check_own_answer(request)
+        found += _check_at_most_once(request, executions.get(request.request_id, []))
+        found += _check_planned_stop(
+            cluster, request, executions.get(request.request_id, [])
+        )
+    found += _check_no_regression(operator)
+    found += _check_drained(cluster, operator)
     return found
 
 
-def _own_answer(request):
+def _check_own_answer(request):
     if request.status != 200:
-        if request.mark and request.status != 500:
+        if request.signature and request.status != 500:
             return [f"{request.request_id}: {request.status} with a server's mark"]
         return []
-    if request.mark is None:
+    if request.signature is None:
         return [f"{request.request_id}: a success without a server's mark"]
-    if request.kind == "/stream/":
+    if request.path_prefix == "/stream/":
         events = [
-            servers.event(request.request_id, n) for n in range(1, servers.EVENTS + 1)
+            servers.event(request.request_id, n)
+            for n in range(1, servers.EVENT_COUNT + 1)
         ]
-        whole = b"".join(events)
-        if request.whole and request.body != whole:
+        expected = b"".join(events)
+        if request.is_complete and request.body != expected:
             return [f"{request.request_id}: a stream ended as whole that is not"]
-        if not whole.startswith(request.body[: request.body.rfind(b"\n\n") + 2]):
+        if not expected.startswith(request.body[: request.body.rfind(b"\n\n") + 2]):
             return [f"{request.request_id}: a stream with events missing or foreign"]
         return []
-    if request.whole and request.body != servers.body_of(request.request_id):
+    if request.is_complete and request.body != servers.body_of(request.request_id):
         return [f"{request.request_id}: not its own whole answer"]
     return []
 
 
-def _at_most_once(request, runs):
-    if request.kind != "/once/":
+def _check_at_most_once(request, executions):
+    if request.path_prefix != "/once/":
         return []
-    if len(runs) > 1:
-        return [f"{request.request_id}: ran {len(runs)} times"]
-    if runs and request.status in NOT_RUN:
+    if len(executions) > 1:
+        return [f"{request.request_id}: ran {len(executions)} times"]
+    if executions and request.status in NOT_EXECUTED_STATUSES:
         return [f"{request.request_id}: told {request.status} (not run) and ran"]
     return []
 
 
-def _planned_stop(world, request, runs):
+def _check_planned_stop(cluster, request, executions):
     """A request that was under way at a planned stop has its whole answer.
 
     Not judged where a back end broke off or the way to one was disturbed.
     """
-    node = next(n for n in world.entries if n.name == request.entry)
+    node = next(n for n in cluster.entries if n.name == request.entry)
     span = request.sent_s, request.ended_s
     if not _any_within(node.stopped_s, *span):
         return []
-    if request.status and request.whole or not runs:
+    if request.status and request.is_complete or not executions:
         return []
-    if any(run.mood in BROKE_OFF for run in runs):
+    if any(execution.response_mode in TRUNCATING_MODES for execution in executions):
         return []
-    if _any_within(world.link_faults_s, span[0] - CALM_S, span[1]):
+    if _any_within(cluster.link_faults_s, span[0] - FAULT_GRACE_S, span[1]):
         return []
     return [f"{request.request_id}: cut by a planned stop of {request.entry}"]
 
 
-def _no_way_back(operator):
+def _check_no_regression(operator):
     found = []
     for read in operator.reads:
         newest = max(
-            (a.version for a in operator.acked if a.at_s + IN_FORCE_S < read.asked_s),
+            (
+                a.version
+                for a in operator.acknowledged
+                if a.at_s + IN_FORCE_BOUND_S < read.requested_s
+            ),
             default=0,
         )
         if read.version < newest:
@@ -99,21 +106,21 @@
     return any(first_s <= at_s <= last_s for at_s in times_s)
 
 
-def _drained(world, operator):
+def _check_drained(cluster, operator):
     """A back end that is leaving gets nothing new after a while.
 
     Judged only where no process of ours was disturbed in between.
     """
     found = []
-    nodes = world.entries + world.controls
+    nodes = cluster.entries + cluster.controls
     for drained in operator.drained:
-        runs = [r for r in world.runs if r.server_id == drained.server_id]
+        executions = [r for r in cluster.executions if r.server_id == drained.server_id]
         late = [
-            run
-            for run in runs
-            if run.at_s > drained.at_s + DRAIN_S
+            execution
+            for execution in executions
+            if execution.at_s > drained.at_s + DRAIN_GRACE_S
             and not any(
-                _any_within(n.disturbed_s, drained.at_s - CALM_S, run.at_s)
+                _any_within(n.disturbed_s, drained.at_s - FAULT_GRACE_S, execution.at_s)
                 for n in nodes
             )
         ]
--- a/dunlinpoint/soak/world.py
+++ b/dunlinpoint/soak/cluster.py
@@ -24,13 +24,15 @@
 BACKENDS = 4
 ZONES = ("z1", "z2")
 HOST = "soak.example"
-KEY = "key-1"
+API_KEY = "key-1"
 GRACE_S = 4
-BEAT_S = 0.4
-CALL_S = 2.0
+HEARTBEAT_INTERVAL_S = 0.4
+CALL_TIMEOUT_S = 2.0
 
 
-def ask(host, port, method, path, body=None, headers=None, timeout=CALL_S):
+def http_request(
+    host, port, method, path, body=None, headers=None, timeout=CALL_TIMEOUT_S
+):
     """One call on a new connection: ``(status, headers, body)``."""
     connection = http.client.HTTPConnection(host, port, timeout=timeout)
     try:
@@ -53,7 +55,7 @@
     popen: subprocess.Popen | None = None
     disturbed_s: list = attrs.field(factory=list)
     stopped_s: list = attrs.field(factory=list)
-    lives: int = 0
+    start_count: int = 0
 
     def start(self):
         """Start the process; it must not be running."""
@@ -66,21 +68,21 @@
                 stderr=log,
             )
         self.env["bootstrap"] = "false"
-        self.disturb()
-        self.lives += 1
+        self.record_disturbance()
+        self.start_count += 1
 
-    def disturb(self):
+    def record_disturbance(self):
         """Note that a fault touched the process now; when that was."""
         self.disturbed_s.append(time.monotonic())
         return self.disturbed_s[-1]
 
     def signal(self, number):
         """Send *number* to the process, if it runs."""
-        self.disturb()
+        self.record_disturbance()
         if self.popen is not None and self.popen.poll() is None:
             os.kill(self.popen.pid, number)
 
-    def end(self):
+    def kill(self):
         """Kill the process at the end of a run, which is no fault, and wait."""
         if self.popen is not None and self.popen.poll() is None:
             self.popen.kill()
@@ -88,7 +90,7 @@
 
 
 @attrs.define(eq=False)
-class World:
+class Cluster:
     """Everything of one run."""
 
     folder: str
@@ -97,36 +99,40 @@
     entries: list = attrs.field(factory=list)
     backends: list = attrs.field(factory=list)
     proxies: list = attrs.field(factory=list)
-    runs: list = attrs.field(factory=list)
+    executions: list = attrs.field(factory=list)
     arrivals: list = attrs.field(factory=list)
     admin_port: int = 0
     port: int = 0
     link_faults_s: list = attrs.field(factory=list)
     link_faults_s_by_id: dict = attrs.field(factory=dict)
-    ended: threading.Event = attrs.field(factory=threading.Event)
+    stop_event: threading.Event = attrs.field(factory=threading.Event)
 
     @classmethod
     def from_seed(cls, folder, seed):
         """The processes of *seed*'s run, not yet started."""
-        world = cls(folder, seed)
-        world.admin_port, world.port = deploy.free_port(), deploy.free_port()
+        cluster = cls(folder, seed)
+        cluster.admin_port, cluster.port = deploy.free_port(), deploy.free_port()
         inner, ready = deploy.free_port(), deploy.free_port()
         # Runs side by side must not meet: each has addresses of its own.
         net = f"127.{1 + os.getpid() % 200}.{seed % 250}"
-        seeds = ",".join(f"{net}.{i + 1}:{world.admin_port}" for i in range(CONTROLS))
-        common = {"seeds": seeds, "inner_ports": inner, "beat_ms": int(BEAT_S * 1000)}
+        seeds = ",".join(f"{net}.{i + 1}:{cluster.admin_port}" for i in range(CONTROLS))
+        common = {
+            "seeds": seeds,
+            "inner_ports": inner,
+            "beat_ms": int(HEARTBEAT_INTERVAL_S * 1000),
+        }
         for i in range(CONTROLS):
             host = f"{net}.{i + 1}"
             env = common | {"zone": ZONES[i % 2], "ip": host, "bootstrap": "true"}
-            env |= {"listen": f"{host}:{world.admin_port}"}
+            env |= {"listen": f"{host}:{cluster.admin_port}"}
             env |= {"data": os.path.join(folder, f"data-{i}")}
-            world.add(world.controls, f"control-{i}", host, "control", env)
+            cluster.add(cluster.controls, f"control-{i}", host, "control", env)
         for i in range(ENTRIES):
             host = f"{net}.{i + 101}"
-            env = common | {"zone": ZONES[i % 2], "listen": f"{host}:{world.port}"}
+            env = common | {"zone": ZONES[i % 2], "listen": f"{host}:{cluster.port}"}
             env |= {"ready": f"{host}:{ready}", "grace_s": GRACE_S, "revoke_ms": 5000}
-            world.add(world.entries, f"entry-{i}", host, "entry", env)
-        return world
+            cluster.add(cluster.entries, f"entry-{i}", host, "entry", env)
+        return cluster
 
     def add(self, nodes, name, host, role, env):
         """One more process of ours."""
@@ -140,12 +146,12 @@
             self.start_backend(f"i-{i}", random.Random(rng.random()))
         for node in self.controls + self.entries:
             node.start()
-        threading.Thread(target=self.beat, daemon=True).start()
+        threading.Thread(target=self.send_heartbeats, daemon=True).start()
 
     def start_backend(self, server_id, rng):
         """One back end behind its proxy."""
         backend = servers.Backend(
-            server_id, "desk", rng, self.runs, arrivals=self.arrivals
+            server_id, "desk", rng, self.executions, arrivals=self.arrivals
         )
         backend.start()
         listen, steer = deploy.free_port(), deploy.free_port()
@@ -157,36 +163,39 @@
         self.backends.append(backend)
         self.proxies.append((proxy, listen, steer))
 
-    def steer(self, index, mode, direction="both", delay_ms=0):
+    def set_link_fault(self, index, mode, direction="both", delay_ms=0):
         """Put a fault in force on the way to back end *index*."""
         now_s, server_id = time.monotonic(), self.backends[index].server_id
         self.link_faults_s.append(now_s)
         self.link_faults_s_by_id.setdefault(server_id, []).append(now_s)
         client.fault(self.proxies[index][2], mode, direction, delay_ms)
 
-    def tell(self, path, body):
+    def post_to_any_control(self, path, body):
         """Tell any control that answers; whether one acknowledged."""
         for node in self.controls:
             try:
-                if ask(node.host, self.admin_port, "POST", path, body)[0] == 200:
+                if (
+                    http_request(node.host, self.admin_port, "POST", path, body)[0]
+                    == 200
+                ):
                     return True
             except (OSError, http.client.HTTPException):
                 continue
         return False
 
-    def beat(self):
+    def send_heartbeats(self):
         """Heartbeats of the back ends until the run ends."""
-        while not self.ended.wait(BEAT_S):
+        while not self.stop_event.wait(HEARTBEAT_INTERVAL_S):
             for backend, (_, listen, _) in zip(
                 self.backends, self.proxies, strict=False
             ):
-                if not backend.gone:
-                    self.announce(backend, listen)
+                if not backend.stopped:
+                    self.send_heartbeat(backend, listen)
 
-    def announce(self, backend, port):
+    def send_heartbeat(self, backend, port):
         """One heartbeat; whether a control acknowledged it."""
         backend.sequence += 1
-        beat = {
+        heartbeat = {
             "service": backend.service,
             "address": f"127.0.0.1:{port}",
             "zone": ZONES[0],
@@ -195,13 +204,13 @@
             "seqNo": backend.sequence,
         }
         path = f"/api/instances/{backend.server_id}/heartbeat"
-        return self.tell(path, json.dumps(beat))
+        return self.post_to_any_control(path, json.dumps(heartbeat))
 
     def stop(self):
         """End every process that this run started."""
-        self.ended.set()
+        self.stop_event.set()
         for node in self.controls + self.entries:
-            node.end()
+            node.kill()
         for proxy, _, _ in self.proxies:
             proxy.signal(signal.SIGKILL)
             proxy.wait(10)
--- a/dunlinpoint/soak/faults.py
+++ b/dunlinpoint/soak/faults.py
@@ -12,10 +12,10 @@
 
 import attrs
 
-LENGTH_S = 12.0
-PAUSE_S = (0.2, 1.6)
-LASTS_S = (0.3, 2.5)
-KINDS = {
+SCHEDULE_LENGTH_S = 12.0
+FAULT_INTERVAL_S = (0.2, 1.6)
+FAULT_DURATION_S = (0.3, 2.5)
+KIND_WEIGHTS = {
     "kill_entry": 2,
     "kill_control": 2,
     "freeze_entry": 1,
@@ -44,34 +44,34 @@
     at_s: float
     kind: str
     index: int
-    lasts_s: float
+    duration_s: float
 
 
 def schedule(seed):
     """The faults of *seed*, in order of time."""
     rng = random.Random(f"faults {seed}")
-    faults, now, disk_free_s = [], 1.0, 0.0
-    while now < LENGTH_S:
-        kind = rng.choices(list(KINDS), KINDS.values())[0]
-        lasts_s = rng.uniform(*LASTS_S)
+    faults, now, next_disk_fault_s = [], 1.0, 0.0
+    while now < SCHEDULE_LENGTH_S:
+        kind = rng.choices(list(KIND_WEIGHTS), KIND_WEIGHTS.values())[0]
+        duration_s = rng.uniform(*FAULT_DURATION_S)
         if kind in DISK_KINDS:
-            if now < disk_free_s:
+            if now < next_disk_fault_s:
                 kind = "change"
             else:
                 # Long enough to be back and a voter again.
-                disk_free_s = now + lasts_s + 4.0
-        faults.append(Fault(now, kind, rng.randrange(64), lasts_s))
-        now += rng.uniform(*PAUSE_S)
+                next_disk_fault_s = now + duration_s + 4.0
+        faults.append(Fault(now, kind, rng.randrange(64), duration_s))
+        now += rng.uniform(*FAULT_INTERVAL_S)
     return faults
 
 
-def begin(world, operator, fault):
+def inject(cluster, operator, fault):
     """Put *fault* in force; a function that heals it."""
     kind, index = fault.kind, fault.index
-    entry = world.entries[index % len(world.entries)]
-    control = world.controls[index % len(world.controls)]
+    entry = cluster.entries[index % len(cluster.entries)]
+    control = cluster.controls[index % len(cluster.controls)]
     if kind in ("change", "race"):
-        operator.change(2 if kind == "race" else 1)
+        operator.replace_document(2 if kind == "race" else 1)
         return None
     if kind == "hup":
         entry.signal(signal.SIGHUP)
@@ -81,35 +81,35 @@
         operator.drain(index)
         return None
     if kind in ("cut", "freeze_link", "one_way", "delay"):
-        return _on_link(world, kind, index)
+        return _inject_link_fault(cluster, kind, index)
     node = entry if kind.endswith("entry") else control
-    return _on_process(node, kind)
+    return _inject_process_fault(node, kind)
 
 
-def _on_link(world, kind, index):
-    index %= len(world.proxies)
+def _inject_link_fault(cluster, kind, index):
+    index %= len(cluster.proxies)
     if kind == "delay":
-        world.steer(index, "delay", delay_ms=20 + index * 10)
+        cluster.set_link_fault(index, "delay", delay_ms=20 + index * 10)
     elif kind == "one_way":
-        world.steer(index, "freeze", "down" if index % 2 else "up")
+        cluster.set_link_fault(index, "freeze", "down" if index % 2 else "up")
     else:
-        world.steer(index, "cut" if kind == "cut" else "freeze")
-    return lambda: world.steer(index, "pass")
+        cluster.set_link_fault(index, "cut" if kind == "cut" else "freeze")
+    return lambda: cluster.set_link_fault(index, "pass")
 
 
-def _on_process(node, kind):
-    what = kind.partition("_")[0]
-    if what == "freeze":
+def _inject_process_fault(node, kind):
+    action = kind.partition("_")[0]
+    if action == "freeze":
         node.signal(signal.SIGSTOP)
         return lambda: node.signal(signal.SIGCONT)
-    if what == "term":
+    if action == "term":
         return _terminate(node)
-    if what == "disk":
-        return _refuse_writes(node)
+    if action == "disk":
+        return _block_writes(node)
     node.signal(signal.SIGCONT)
     node.signal(signal.SIGKILL)
     node.popen.wait(10)
-    if what == "lose":
+    if action == "lose":
         shutil.rmtree(node.env["data"], ignore_errors=True)
     return node.start
 
@@ -117,7 +117,7 @@
 def _terminate(node):
     """A planned stop; the process is started again once it has ended."""
     node.signal(signal.SIGCONT)
-    node.stopped_s.append(node.disturb())
+    node.stopped_s.append(node.record_disturbance())
     node.signal(signal.SIGTERM)
 
     def heal():
@@ -127,17 +127,17 @@
     return heal
 
 
-def _refuse_writes(node):
+def _block_writes(node):
     """A folder in the place of the file that is written next."""
     blocked = os.path.join(node.env["data"], "control-state.json.new")
-    node.disturb()
+    node.record_disturbance()
     try:
         os.makedirs(blocked, exist_ok=True)
     except FileExistsError:
         return None
 
     def heal():
-        node.disturb()
+        node.record_disturbance()
         shutil.rmtree(blocked, ignore_errors=True)
 
     return heal
--- a/dunlinpoint/soak/run.py
+++ b/dunlinpoint/soak/run.py
@@ -11,13 +11,13 @@
 
 import attrs
 
-from dunlinpoint.soak import callers, checks, faults, notices
-from dunlinpoint.soak import world as worlds
+from dunlinpoint.soak import callers, checks, faults, signals
+from dunlinpoint.soak import cluster as clusters
 
-READY_S = 20.0
+READY_TIMEOUT_S = 20.0
 # After the last fault: long enough for a planned stop and a new voter.
-CALM_S = 5.0
-READ_S = 0.7
+RECOVERY_TIMEOUT_S = 5.0
+READ_INTERVAL_S = 0.7
 MAX_SEEDS = 200
 
 
@@ -37,133 +37,145 @@
 def play(seed, telling=False):
     """Play *seed*, with *telling* back ends if asked for; its ``Verdict``."""
     folder = tempfile.mkdtemp(prefix=f"soak-{seed}-")
-    world = worlds.World.from_seed(folder, seed)
+    cluster = clusters.Cluster.from_seed(folder, seed)
     rng = random.Random(f"callers {seed}")
-    operator = callers.Operator(world, random.Random(rng.random()))
-    seen, threads, broken = [], [], []
+    operator = callers.Operator(cluster, random.Random(rng.random()))
+    results, threads, violations = [], [], []
     planned = faults.schedule(seed)
     try:
-        world.start()
-        wait_ready(world, operator)
+        cluster.start()
+        wait_ready(cluster, operator)
         for number in range(callers.CALLERS):
-            caller = callers.Caller(world, number, seen, random.Random(rng.random()))
+            caller = callers.Caller(
+                cluster, number, results, random.Random(rng.random())
+            )
             threads.append(threading.Thread(target=caller.run, daemon=True))
             threads[-1].start()
         if telling:
-            notices.spells(seed, world.backends, time.monotonic())
-        carry_out(world, operator, planned)
-        broken += recovered(world)
+            signals.assign_signal_periods(seed, cluster.backends, time.monotonic())
+        run_schedule(cluster, operator, planned)
+        violations += check_recovery(cluster)
     finally:
-        world.ended.set()
+        cluster.stop_event.set()
         for thread in threads:
             thread.join(10)
-        world.stop()
-    broken += checks.broken(world, seen, operator)
-    broken += notices.broken(world, seen)
-    answered = sum(1 for s in seen if s.status == 200 and s.whole)
+        cluster.stop()
+    violations += checks.broken(cluster, results, operator)
+    violations += signals.broken(cluster, results)
+    answered = sum(1 for s in results if s.status == 200 and s.is_complete)
     return Verdict(
-        seed, len(seen), answered, len(operator.acked), len(planned), broken, folder
+        seed,
+        len(results),
+        answered,
+        len(operator.acknowledged),
+        len(planned),
+        violations,
+        folder,
     )
 
 
-def wait_ready(world, operator):
+def wait_ready(cluster, operator):
     """Wait until the first document is in force and requests are served."""
-    operator.change(1)
-    if missing(world.entries, lambda node: served(world, node), READY_S):
-        raise RuntimeError(f"seed {world.seed}: not ready after {READY_S} s")
+    operator.replace_document(1)
+    if wait_for(cluster.entries, lambda node: serves(cluster, node), READY_TIMEOUT_S):
+        raise RuntimeError(f"seed {cluster.seed}: not ready after {READY_TIMEOUT_S} s")
 
 
-def served(world, node):
+def serves(cluster, node):
     """Whether an entry answers a request that may run again."""
     headers = {
-        "Authorization": f"Bearer {worlds.KEY}",
+        "Authorization": f"Bearer {clusters.API_KEY}",
         "X-Dunlinpoint-Attempt-Id": f"ready-{time.monotonic()}",
         "X-Dunlinpoint-Deadline-Ms": "1500",
     }
     try:
-        status = worlds.ask(node.host, world.port, "POST", "/often/x", b"{}", headers)
+        status = clusters.http_request(
+            node.host, cluster.port, "POST", "/often/x", b"{}", headers
+        )
     except Exception:  # anything but an answer is no answer
         return False
     return status[0] == 200
 
 
-def recovered(world):
+def check_recovery(cluster):
     """Once all faults have healed, every entry serves soon after it listens.
 
     Loading its libraries is the machine's matter: beside ten other runs that
     alone took 6 to 9 s, and the entry served 0.2 s later.
     """
-    late = missing(world.entries, lambda node: listens(world, node), READY_S)
-    found = [f"{node.name} does not start again" for node in late]
-    started = [node for node in world.entries if node not in late]
-    late = missing(started, lambda node: served(world, node), CALM_S)
-    return found + [f"{node.name} does not serve after all faults" for node in late]
-
-
-def missing(nodes, holds, bound_s):
-    """Those of *nodes* for which ``holds(node)`` did not come within *bound_s*."""
-    ends_s = time.monotonic() + bound_s
-    waiting = list(nodes)
-    while waiting and time.monotonic() < ends_s:
-        waiting = [node for node in waiting if not holds(node)]
+    failing = wait_for(
+        cluster.entries, lambda node: listens(cluster, node), READY_TIMEOUT_S
+    )
+    found = [f"{node.name} does not start again" for node in failing]
+    started = [node for node in cluster.entries if node not in failing]
+    failing = wait_for(started, lambda node: serves(cluster, node), RECOVERY_TIMEOUT_S)
+    return found + [f"{node.name} does not serve after all faults" for node in failing]
+
+
+def wait_for(nodes, condition, timeout_s):
+    """Those of *nodes* for which ``condition(node)`` did not come within *timeout_s*."""
+    deadline_s = time.monotonic() + timeout_s
+    pending = list(nodes)
+    while pending and time.monotonic() < deadline_s:
+        pending = [node for node in pending if not condition(node)]
         time.sleep(0.1)
-    return waiting
+    return pending
 
 
-def listens(world, node):
+def listens(cluster, node):
     """Whether an entry takes connections."""
     try:
-        with socket.create_connection((node.host, world.port), timeout=1):
+        with socket.create_connection((node.host, cluster.port), timeout=1):
             return True
     except OSError:
         return False
 
 
-def carry_out(world, operator, planned):
+def run_schedule(cluster, operator, planned):
     """Put the faults in force and heal them, each at its time."""
-    began_s = time.monotonic()
-    healing, busy, reads_s = [], set(), 0.0
+    start_s = time.monotonic()
+    active_faults, faulted_targets, reads_s = [], set(), 0.0
     planned = list(planned)
-    while planned or healing:
-        now_s = time.monotonic() - began_s
-        for due_s, heal, what in [h for h in healing if h[0] <= now_s]:
+    while planned or active_faults:
+        now_s = time.monotonic() - start_s
+        for due_s, heal, target in [h for h in active_faults if h[0] <= now_s]:
             heal()
-            healing.remove((due_s, heal, what))
-            busy.discard(what)
+            active_faults.remove((due_s, heal, target))
+            faulted_targets.discard(target)
         while planned and planned[0].at_s <= now_s:
             fault = planned.pop(0)
-            what = target_of(fault)
-            if what in busy:
+            target = target_of(fault)
+            if target in faulted_targets:
                 continue
-            heal = faults.begin(world, operator, fault)
+            heal = faults.inject(cluster, operator, fault)
             if heal is not None:
-                healing.append((now_s + fault.lasts_s, heal, what))
-                busy.add(what)
-        supervise(world, busy)
+                active_faults.append((now_s + fault.duration_s, heal, target))
+                faulted_targets.add(target)
+        restart_exited(cluster, faulted_targets)
         if now_s >= reads_s:
-            reads_s = now_s + READ_S
+            reads_s = now_s + READ_INTERVAL_S
             threading.Thread(target=operator.read, daemon=True).start()
         time.sleep(0.02)
 
 
-def supervise(world, busy):
+def restart_exited(cluster, faulted_targets):
     """Start again what has ended by itself, as whatever runs the processes does."""
-    nodes = [(("entry", i), node) for i, node in enumerate(world.entries)]
-    nodes += [(("control", i), node) for i, node in enumerate(world.controls)]
-    for what, node in nodes:
-        if what not in busy and node.popen.poll() is not None:
+    nodes = [(("entry", i), node) for i, node in enumerate(cluster.entries)]
+    nodes += [(("control", i), node) for i, node in enumerate(cluster.controls)]
+    for target, node in nodes:
+        if target not in faulted_targets and node.popen.poll() is not None:
             node.start()
 
 
 def target_of(fault):
     """What *fault* is on, so that two on one process do not undo each other."""
     if fault.kind.endswith("_entry"):
-        return "entry", fault.index % worlds.ENTRIES
+        return "entry", fault.index % clusters.ENTRIES
     if fault.kind in ("cut", "freeze_link", "one_way", "delay"):
-        return "link", fault.index % worlds.BACKENDS
+        return "link", fault.index % clusters.BACKENDS
     if fault.kind in ("hup", "drain", "change", "race"):
         return None
-    return "control", fault.index % worlds.CONTROLS
+    return "control", fault.index % clusters.CONTROLS
 
 
 def main(argv=None):
--- a/dunlinpoint/soak/servers.py
+++ b/dunlinpoint/soak/servers.py
@@ -12,17 +12,17 @@
 
 import attrs
 
-from dunlinpoint.soak import notices
-
-ID = "X-Dunlinpoint-Attempt-Id"
-MARK = "X-Dunlinpoint-Server-Signature"
-NOT_RUN = "X-Dunlinpoint-Not-Executed"
-TARGET = "X-Dunlinpoint-Target-Instance"
-EVENTS = 8
-EVENT_S = 0.04
-WORK_S = 0.02
+from dunlinpoint.soak import signals
+
+ATTEMPT_ID_HEADER = "X-Dunlinpoint-Attempt-Id"
+SIGNATURE_HEADER = "X-Dunlinpoint-Server-Signature"
+NOT_EXECUTED_HEADER = "X-Dunlinpoint-Not-Executed"
+TARGET_HEADER = "X-Dunlinpoint-Target-Instance"
+EVENT_COUNT = 8
+EVENT_INTERVAL_S = 0.04
+PROCESSING_TIME_S = 0.02
 # What a server does with a request, and how often of a hundred.
-MOODS = {
+RESPONSE_MODE_WEIGHTS = {
     "serve": 88,
     "full": 3,
     "error": 2,
@@ -43,7 +43,7 @@
     return f"answer to {request_id} ".encode() * 20
 
 
-class Quiet(http.server.ThreadingHTTPServer):
+class QuietServer(http.server.ThreadingHTTPServer):
     """A server whose callers may leave at any moment, as a matter of course."""
 
     daemon_threads = True
@@ -53,13 +53,13 @@
 
 
 @attrs.define
-class Run:
+class Execution:
     """One request that a server began to work on."""
 
     server_id: str
     request_id: str
     at_s: float
-    mood: str
+    response_mode: str
 
 
 @attrs.define(eq=False)
@@ -69,125 +69,143 @@
     server_id: str
     service: str
     rng: random.Random
-    runs: list
+    executions: list
     port: int = 0
-    http: object = None
+    http_server: object = None
     draining: bool = False
-    gone: bool = False
+    stopped: bool = False
     sequence: int = 0
-    spell: notices.Spell | None = None
+    signal_period: signals.SignalPeriod | None = None
     arrivals: list = attrs.field(factory=list)
 
-    def said(self, now_s):
+    def signal_at(self, now_s):
         """What it says of itself at *now_s*, or ``None``."""
-        spell = self.spell
-        if spell is None or not spell.from_s <= now_s < spell.to_s:
+        signal_period = self.signal_period
+        if (
+            signal_period is None
+            or not signal_period.start_s <= now_s < signal_period.end_s
+        ):
             return None
-        return spell.kind
+        return signal_period.kind
 
     def start(self):
         """Listen on a free port of the loopback address."""
-        server = Quiet(("127.0.0.1", 0), Handler)
+        server = QuietServer(("127.0.0.1", 0), Handler)
         server.backend = self
         self.port = server.server_address[1]
-        self.http = server
+        self.http_server = server
         threading.Thread(target=server.serve_forever, daemon=True).start()
 
     def stop(self):
         """Take no more connections."""
-        self.http.shutdown()
-        self.http.server_close()
+        self.http_server.shutdown()
+        self.http_server.server_close()
 
-    def mood(self):
+    def draw_response_mode(self):
         """What to do with the next request."""
-        return self.rng.choices(list(MOODS), MOODS.values())[0]
+        return self.rng.choices(
+            list(RESPONSE_MODE_WEIGHTS), RESPONSE_MODE_WEIGHTS.values()
+        )[0]
 
 
 class Handler(http.server.BaseHTTPRequestHandler):
     """One connection to a back end."""
 
     protocol_version = "HTTP/1.1"
-    said = None
+    signal = None
 
     def log_message(self, *args):
         pass
 
-    def begin(self, status):
+    def send_status(self, status):
         """The status line, and what the back end says of itself."""
         self.send_response(status)
-        for name, value in notices.HEADERS.get(self.said, {}).items():
+        for name, value in signals.SIGNAL_HEADERS.get(self.signal, {}).items():
             self.send_header(name, value)
 
     def do_POST(self):
         self.rfile.read(int(self.headers.get("Content-Length", 0)))
         backend = self.server.backend
-        request_id = self.headers[ID]
-        if self.headers.get(TARGET) != backend.server_id:
-            self.head(421, {NOT_RUN: "1"}, b"")
+        request_id = self.headers[ATTEMPT_ID_HEADER]
+        if self.headers.get(TARGET_HEADER) != backend.server_id:
+            self.respond(421, {NOT_EXECUTED_HEADER: "1"}, b"")
             return
         now_s = time.monotonic()
-        self.said = backend.said(now_s)
+        self.signal = backend.signal_at(now_s)
         backend.arrivals.append(
-            notices.Arrival(backend.server_id, request_id, now_s, self.said)
+            signals.Arrival(backend.server_id, request_id, now_s, self.signal)
         )
-        if self.said == notices.REST:
-            self.head(503, {NOT_RUN: "1"}, b"")
+        if self.signal == signals.BACKOFF:
+            self.respond(503, {NOT_EXECUTED_HEADER: "1"}, b"")
             return
-        mood = backend.mood()
-        if mood == "full":
-            self.head(503, {NOT_RUN: "1"}, b"")
+        response_mode = backend.draw_response_mode()
+        if response_mode == "full":
+            self.respond(503, {NOT_EXECUTED_HEADER: "1"}, b"")
             return
-        run = Run(backend.server_id, request_id, time.monotonic(), mood)
-        backend.runs.append(run)
-        if mood == "drop":
+        execution = Execution(
+            backend.server_id, request_id, time.monotonic(), response_mode
+        )
+        backend.executions.append(execution)
+        if response_mode == "drop":
             self.close_connection = True
-        elif mood == "error":
-            self.head(500, {MARK: backend.server_id}, b"failed")
-        elif mood == "foreign":
-            marked = {MARK: backend.server_id, ID: "another"}
-            self.head(200, marked, body_of("another"))
-        elif mood == "unsigned":
-            self.head(200, {}, body_of(request_id))
+        elif response_mode == "error":
+            self.respond(500, {SIGNATURE_HEADER: backend.server_id}, b"failed")
+        elif response_mode == "foreign":
+            headers = {
+                SIGNATURE_HEADER: backend.server_id,
+                ATTEMPT_ID_HEADER: "another",
+            }
+            self.respond(200, headers, body_of("another"))
+        elif response_mode == "unsigned":
+            self.respond(200, {}, body_of(request_id))
         elif "/stream/" in self.path:
             last = int(self.headers.get("Last-Event-Id", 0))
-            self.stream(request_id, last, broken=mood == "break")
+            self.send_stream(request_id, last, truncated=response_mode == "break")
         else:
-            time.sleep(WORK_S)
+            time.sleep(PROCESSING_TIME_S)
             data = body_of(request_id)
-            if mood == "break":
-                self.head(200, {MARK: backend.server_id}, data, sent=len(data) // 2)
+            if response_mode == "break":
+                self.respond(
+                    200,
+                    {SIGNATURE_HEADER: backend.server_id},
+                    data,
+                    sent=len(data) // 2,
+                )
                 self.close_connection = True
             else:
-                self.head(200, {MARK: backend.server_id}, data)
+                self.respond(200, {SIGNATURE_HEADER: backend.server_id}, data)
 
-    def head(self, status, headers, data, sent=None):
+    def respond(self, status, headers, data, sent=None):
         """Answer with *data*, or only its first *sent* bytes."""
-        self.begin(status)
-        self.send_header(ID, headers.pop(ID, self.headers[ID]))
+        self.send_status(status)
+        self.send_header(
+            ATTEMPT_ID_HEADER,
+            headers.pop(ATTEMPT_ID_HEADER, self.headers[ATTEMPT_ID_HEADER]),
+        )
         for name, value in headers.items():
             self.send_header(name, value)
         self.send_header("Content-Length", str(len(data)))
         self.end_headers()
         self.wfile.write(data[:sent])
 
-    def stream(self, request_id, last, broken):
+    def send_stream(self, request_id, last, truncated):
         """Events after *last*, broken off inside one if *broken*."""
-        self.begin(200)
-        self.send_header(ID, request_id)
-        self.send_header(MARK, self.server.backend.server_id)
+        self.send_status(200)
+        self.send_header(ATTEMPT_ID_HEADER, request_id)
+        self.send_header(SIGNATURE_HEADER, self.server.backend.server_id)
         self.send_header("Content-Type", "text/event-stream")
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
-        for number in range(last + 1, EVENTS + 1):
-            time.sleep(EVENT_S)
+        for number in range(last + 1, EVENT_COUNT + 1):
+            time.sleep(EVENT_INTERVAL_S)
             data = event(request_id, number)
-            if broken and number == last + 3:
-                self.chunk(data[:7])
+            if truncated and number == last + 3:
+                self.send_chunk(data[:7])
                 self.close_connection = True
                 return
-            self.chunk(data)
-        self.chunk(b"")
+            self.send_chunk(data)
+        self.send_chunk(b"")
 
-    def chunk(self, data):
+    def send_chunk(self, data):
         """One piece of a chunked body; an empty one ends it."""
         self.wfile.write(f"{len(data):x}\r\n".encode() + data + b"\r\n")
--- /dev/null
+++ b/dunlinpoint/soak/signals.py
@@ -0,0 +1,144 @@
+"""Back ends that say for a while what they take, and whether entries heed it.
+
+One back end names a limit, one asks for rest with each refusal, one says that it
+leaves, each from its own moment on. An arrival is judged where nothing disturbed its
+entry, or the way to the back end, since the entry was told.
+"""
+
+import random
+
+import attrs
+
+RATE_LIMIT, BACKOFF, DRAINING = "limit", "rest", "leaving"
+RATE_LIMIT_PER_S = 2.0
+BACKOFF_S = 2.0
+SIGNAL_HEADERS = {
+    RATE_LIMIT: {"Server-Limit": str(RATE_LIMIT_PER_S)},
+    BACKOFF: {"Retry-After": str(BACKOFF_S)},
+    DRAINING: {"Server-Leaving": "1"},
+}
+START_RANGE_S = (0.0, 4.0)
+PERIOD_S = 8.0
+# What is on its way while an entry is told.
+IN_FLIGHT_S = 0.5
+WINDOW_S = 4.0
+DRAIN_GRACE_S = 2.5
+# What may reach a resting back end, and a limited one beyond its limit.
+MAX_DURING_BACKOFF = 2
+RATE_LIMIT_TOLERANCE = 1.5
+RATE_LIMIT_ALLOWANCE = 5
+# How long a fault of a link may hold a request or an answer up.
+MAX_LINK_HOLD_S = 4.0
+
+
+@attrs.frozen
+class SignalPeriod:
+    """What a back end says of itself, from when to when (s)."""
+
+    kind: str
+    start_s: float
+    end_s: float
+
+
+@attrs.frozen
+class Arrival:
+    """A request that reached a back end, and what the back end said then."""
+
+    server_id: str
+    request_id: str
+    at_s: float
+    signal: str | None
+
+
+def assign_signal_periods(seed, backends, now_s):
+    """Give each of three back ends of *seed* a spell, beginning after *now_s*."""
+    rng = random.Random(f"notices {seed}")
+    for kind, backend in zip(
+        (RATE_LIMIT, BACKOFF, DRAINING), rng.sample(backends, 3), strict=True
+    ):
+        start_s = now_s + rng.uniform(*START_RANGE_S)
+        backend.signal_period = SignalPeriod(kind, start_s, start_s + PERIOD_S)
+
+
+def violations(cluster, results):
+    """What was not heeded, as lines of text."""
+    entry_by_request = {request.request_id: request.entry for request in results}
+    arrivals_by_path = {}
+    for arrival in sorted(cluster.arrivals, key=lambda a: a.at_s):
+        entry = entry_by_request.get(arrival.request_id)
+        if entry is not None:
+            arrivals_by_path.setdefault((arrival.server_id, entry), []).append(arrival)
+    found, informed_arrivals_s = [], {}
+    for (server_id, entry), arrivals in arrivals_by_path.items():
+        is_undisturbed = _undisturbed_check(cluster, server_id, entry)
+        found += _check_backoff(server_id, entry, arrivals, is_undisturbed)
+        found += _check_draining(server_id, entry, arrivals, is_undisturbed)
+        informed_arrivals_s.setdefault(server_id, []).extend(
+            _informed_arrivals_s(arrivals, is_undisturbed)
+        )
+    for server_id, times_s in informed_arrivals_s.items():
+        found += _check_rate_limit(server_id, sorted(times_s))
+    return found
+
+
+def _undisturbed_check(cluster, server_id, entry):
+    node = next(n for n in cluster.entries if n.name == entry)
+    link_faults_s = cluster.link_faults_s_by_id.get(server_id, [])
+
+    def is_undisturbed(first_s, last_s):
+        """Whether nothing was disturbed between an answer and an arrival."""
+        delayed = any(
+            first_s - MAX_LINK_HOLD_S <= at_s <= last_s for at_s in link_faults_s
+        )
+        return not delayed and not any(
+            first_s <= at_s <= last_s for at_s in node.disturbed_s
+        )
+
+    return is_undisturbed
+
+
+def _signalled_s(arrivals, kind):
+    return [arrival.at_s for arrival in arrivals if arrival.signal == kind]
+
+
+def _check_backoff(server_id, entry, arrivals, is_undisturbed):
+    for signalled_s in _signalled_s(arrivals, BACKOFF):
+        end_s = signalled_s + BACKOFF_S
+        late = [a for a in arrivals if signalled_s + IN_FLIGHT_S < a.at_s < end_s]
+        if len(late) > MAX_DURING_BACKOFF and is_undisturbed(signalled_s, end_s):
+            return [f"{server_id} rested and got {len(late)} requests from {entry}"]
+    return []
+
+
+def _check_draining(server_id, entry, arrivals, is_undisturbed):
+    signalled_s = _signalled_s(arrivals, DRAINING)
+    if not signalled_s:
+        return []
+    late = [
+        a
+        for a in arrivals
+        if a.at_s > signalled_s[0] + DRAIN_GRACE_S
+        and is_undisturbed(signalled_s[0], a.at_s)
+    ]
+    if late:
+        return [f"{server_id} left and got {len(late)} requests from {entry}"]
+    return []
+
+
+def _informed_arrivals_s(arrivals, is_undisturbed):
+    """When requests came from an entry that had been told, while the limit held."""
+    signalled_s = _signalled_s(arrivals, RATE_LIMIT)
+    return [
+        at_s
+        for at_s in signalled_s
+        if at_s > signalled_s[0] + IN_FLIGHT_S and is_undisturbed(signalled_s[0], at_s)
+    ]
+
+
+def _check_rate_limit(server_id, times_s):
+    allowed = RATE_LIMIT_TOLERANCE * RATE_LIMIT_PER_S * WINDOW_S + RATE_LIMIT_ALLOWANCE
+    for first_s in times_s:
+        count = sum(first_s <= at_s < first_s + WINDOW_S for at_s in times_s)
+        if count > allowed:
+            return [f"{server_id} named a limit and got {count} requests in 4 s"]
+    return []
