--- a/dunlinpoint/soak/__init__.py
+++ b/dunlinpoint/soak/__init__.py
@@ -1,17 +1,17 @@
-"""A randomized fault soak: real processes, faults from outside, promises checked.
+"""A randomized soak test: real processes, injected faults, checked guarantees.
 
 ==============  ==========================================================
 module          holds
 ==============  ==========================================================
-``servers``     back ends that misbehave on their own, and what they ran
-``cluster``       the processes of one run, each on a loopback address of its own
-``notices``     back ends that say what they take, and whether it was heeded
-``faults``      the schedule of faults that a seed gives
-``callers``     callers and the operator, and what they saw
-``checks``      the promises, judged from what callers and back ends saw
-``run``         one seed or many, from the command line
+``servers``     backends that fail some requests, and what they executed
+``cluster``     the processes of one run, each on its own loopback address
+``signals``     backends that send load signals, and whether entries comply
+``faults``      the fault schedule of a seed
+``callers``     callers and the operator, and a record of their results
+``checks``      the guarantees, checked against the records of a run
+``run``         the command line: runs one or more seeds
 ==============  ==========================================================
 
-``python -m dunlinpoint.soak --seeds 1,2,3`` plays seeds; the same seed gives
-the same schedule. Every process is ended by its id.
+``python -m dunlinpoint.soak --seeds 1,2,3`` runs the given seeds; a seed always
+gives the same fault schedule. Every process is stopped by its pid.
 """
--- a/dunlinpoint/soak/callers.py
+++ b/dunlinpoint/soak/callers.py
@@ -1,7 +1,7 @@
-"""Callers and the operator, and what they saw.
+"""Callers and the operator, and a record of their results.
 
-A caller keeps its connection open and uses it until it is closed by the other
-side or breaks; then it opens another one, to any entry.
+A caller keeps its connection alive until the entry closes it or it breaks, then
+connects to a randomly chosen entry.
 """
 
 import http.client
@@ -17,7 +17,7 @@
 CALLERS = 6
 THINK_TIME_S = (0.01, 0.15)
 DEADLINE_MS = 3000
-# An operator sends a document again until it is acknowledged.
+# Times the operator sends a document to each control until one acknowledges it.
 SEND_ATTEMPTS = 20
 RESEND_INTERVAL_S = 0.2
 PATH_PREFIXES = ("/once/", "/often/", "/stream/")
@@ -25,7 +25,7 @@
 
 @attrs.define
 class RequestResult:
-    """One request as its caller saw it end; *status* is 0 without an answer."""
+    """The result of one request at its caller; *status* is 0 without an answer."""
 
     request_id: str
     path_prefix: str
@@ -41,7 +41,7 @@
 
 @attrs.define(eq=False)
 class Caller:
-    """One caller with its kept connection."""
+    """One caller with its persistent connection."""
 
     cluster: cluster.Cluster
     number: int
@@ -58,13 +58,13 @@
         self.close()
 
     def close(self):
-        """Drop the kept connection."""
+        """Close the persistent connection."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
 
     def send_request(self):
-        """Send one request and note how it ended."""
+        """Send one request and record its result."""
         if self.connection is None:
             self.node = self.rng.choice(self.cluster.entries)
             self.connection = http.client.HTTPConnection(
@@ -93,7 +93,7 @@
         )
 
     def exchange(self, path_prefix, request_id):
-        """``(status, mark, body, whole)`` of one request."""
+        """``(status, signature, body, is_complete)`` of one request."""
         headers = {
             "Host": cluster.HOST,
             "Authorization": f"Bearer {cluster.API_KEY}",
@@ -120,7 +120,7 @@
 
 @attrs.define
 class AcknowledgedDocument:
-    """A document that a control acknowledged, and when."""
+    """A document version that a control acknowledged, and when."""
 
     version: int
     at_s: float
@@ -128,7 +128,7 @@
 
 @attrs.define
 class DocumentRead:
-    """A document that a control gave back, when asked and from which one."""
+    """A document version read from control *node* on a request at *requested_s*."""
 
     version: int
     requested_s: float
@@ -137,7 +137,7 @@
 
 @attrs.define
 class DrainedBackend:
-    """A back end whose leaving was acknowledged."""
+    """A backend whose draining state a control acknowledged."""
 
     server_id: str
     at_s: float
@@ -145,7 +145,7 @@
 
 @attrs.define(eq=False)
 class Operator:
-    """Sends documents with growing numbers, and reads them back."""
+    """Replaces the document with increasing versions, and reads it back."""
 
     cluster: cluster.Cluster
     rng: random.Random
@@ -155,7 +155,7 @@
     drained: list = attrs.field(factory=list)
 
     def document(self, version):
-        """The document with this number."""
+        """The configuration document of *version*, as a dict."""
         routes = [
             {
                 "name": path_prefix.strip("/"),
@@ -181,7 +181,7 @@
         }
 
     def replace_document(self, count):
-        """Send *racing* documents at once, each to a control of its own."""
+        """Send *count* documents concurrently, each to the controls in random order."""
         for _ in range(count):
             self.version += self.rng.randint(1, 3)
             order = list(self.cluster.controls)
@@ -192,7 +192,7 @@
             ).start()
 
     def send_until_acknowledged(self, version, order):
-        """Send a document to one control after the other until one acknowledges."""
+        """Send a document to the controls in turn until one acknowledges it."""
         body = json.dumps(self.document(version))
         for node in order * SEND_ATTEMPTS:
             if self.cluster.stop_event.is_set():
@@ -205,7 +205,7 @@
             time.sleep(RESEND_INTERVAL_S)
 
     def put_document(self, node, body):
-        """Send a document to one control; its status, 0 without an answer."""
+        """Send a document to one control; the HTTP status, 0 without an answer."""
         path = "/api/config/replace"
         try:
             return cluster.http_request(
@@ -215,7 +215,7 @@
             return 0
 
     def read(self):
-        """Ask every control for the document."""
+        """Read the document from every control and record its version."""
         for node in self.cluster.controls:
             requested_s = time.monotonic()
             try:
@@ -229,7 +229,7 @@
                 self.reads.append(DocumentRead(number, requested_s, node.name))
 
     def drain(self, index):
-        """Have one back end leave, if enough others stay."""
+        """Drain one backend, if more than two are not draining."""
         remaining = [b for b in self.cluster.backends if not b.draining]
         if len(remaining) <= 2:
             return
--- a/dunlinpoint/soak/checks.py
+++ b/dunlinpoint/soak/checks.py
@@ -1,23 +1,23 @@
-"""The promises, judged from what callers and back ends saw.
+"""The guarantees, checked against callers' and backends' records.
 
-Bounds in time hold where no fault touched the process in question shortly
-before; what holds always (own answers, at most once, not run, no way back) is
-judged without any excuse.
+Time bounds are checked only for processes that no fault touched shortly before.
+Guarantees that hold always (own answers, at most once, not executed, no version
+regression) are checked whatever faults occurred.
 """
 
 from dunlinpoint.soak import servers
 
 DRAIN_GRACE_S = 2.5
 IN_FORCE_BOUND_S = 2.0
-# How long after a fault a process is not held to bounds in time.
+# Time after a fault during which a process is exempt from time bounds.
 FAULT_GRACE_S = 4.0
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
-# Moods of a back end in which it ends an answer before its end.
+# Response modes in which a backend sends part of an answer or none.
 TRUNCATING_MODES = {"drop", "break"}
 
 
 def violations(cluster, results, operator):
-    """Every promise that was broken, as lines of text."""
+    """One line for each violated guarantee."""
     executions = {}
     for execution in cluster.executions:
         executions.setdefault(execution.request_id, []).append(execution)
@@ -36,10 +36,12 @@
 def _check_own_answer(request):
     if request.status != 200:
         if request.signature and request.status != 500:
-            return [f"{request.request_id}: {request.status} with a server's mark"]
+            return [
+                f"{request.request_id}: {request.status} with a backend's signature"
+            ]
         return []
     if request.signature is None:
-        return [f"{request.request_id}: a success without a server's mark"]
+        return [f"{request.request_id}: status 200 without a backend's signature"]
     if request.path_prefix == "/stream/":
         events = [
             servers.event(request.request_id, n)
@@ -47,12 +49,12 @@
         ]
         expected = b"".join(events)
         if request.is_complete and request.body != expected:
-            return [f"{request.request_id}: a stream ended as whole that is not"]
+            return [f"{request.request_id}: an incomplete stream ended normally"]
         if not expected.startswith(request.body[: request.body.rfind(b"\n\n") + 2]):
-            return [f"{request.request_id}: a stream with events missing or foreign"]
+            return [f"{request.request_id}: a stream with missing or foreign events"]
         return []
     if request.is_complete and request.body != servers.body_of(request.request_id):
-        return [f"{request.request_id}: not its own whole answer"]
+        return [f"{request.request_id}: a complete answer that is not its own"]
     return []
 
 
@@ -60,16 +62,19 @@
     if request.path_prefix != "/once/":
         return []
     if len(executions) > 1:
-        return [f"{request.request_id}: ran {len(executions)} times"]
+        return [f"{request.request_id}: executed {len(executions)} times"]
     if executions and request.status in NOT_EXECUTED_STATUSES:
-        return [f"{request.request_id}: told {request.status} (not run) and ran"]
+        return [
+            f"{request.request_id}: executed despite {request.status} (not executed)"
+        ]
     return []
 
 
 def _check_planned_stop(cluster, request, executions):
-    """A request that was under way at a planned stop has its whole answer.
+    """A request in flight at a planned stop of its entry gets its complete answer.
 
-    Not judged where a back end broke off or the way to one was disturbed.
+    Not checked if a backend truncated the answer, or a link fault occurred shortly
+    before or during the request.
     """
     node = next(n for n in cluster.entries if n.name == request.entry)
     span = request.sent_s, request.ended_s
@@ -81,7 +86,7 @@
         return []
     if _any_within(cluster.link_faults_s, span[0] - FAULT_GRACE_S, span[1]):
         return []
-    return [f"{request.request_id}: cut by a planned stop of {request.entry}"]
+    return [f"{request.request_id}: interrupted by a planned stop of {request.entry}"]
 
 
 def _check_no_regression(operator):
@@ -107,14 +112,14 @@
 
 
 def _check_drained(cluster, operator):
-    """A back end that is leaving gets nothing new after a while.
+    """A draining backend receives no new requests after ``DRAIN_GRACE_S``.
 
-    Judged only where no process of ours was disturbed in between.
+    Checked only if no fault touched an entry or a control in between.
     """
     found = []
     nodes = cluster.entries + cluster.controls
     for drained in operator.drained:
-        executions = [r for r in cluster.executions if r.server_id == drained.server_id]
+        executions = [e for e in cluster.executions if e.server_id == drained.server_id]
         late = [
             execution
             for execution in executions
@@ -125,5 +130,5 @@
             )
         ]
         if late:
-            found.append(f"{drained.server_id} got {len(late)} requests while leaving")
+            found.append(f"{drained.server_id} got {len(late)} requests while draining")
     return found
--- a/dunlinpoint/soak/cluster.py
+++ b/dunlinpoint/soak/cluster.py
@@ -1,7 +1,7 @@
-"""The processes of one run, each on a loopback address of its own.
+"""The processes of one run, each control and entry on its own loopback address.
 
-Controls and entries are the roles that the platform starts.
-Each back end is reached through a fault-injecting proxy of its own.
+Controls and entries run as ``python -m dunlinpoint.platform`` roles. Each backend is
+reached through its own fault-injecting proxy.
 """
 
 import http.client
@@ -33,7 +33,7 @@
 def http_request(
     host, port, method, path, body=None, headers=None, timeout=CALL_TIMEOUT_S
 ):
-    """One call on a new connection: ``(status, headers, body)``."""
+    """One HTTP request on a new connection; ``(status, headers, body)``."""
     connection = http.client.HTTPConnection(host, port, timeout=timeout)
     try:
         connection.request(method, path, body, {"Host": HOST} | (headers or {}))
@@ -45,7 +45,7 @@
 
 @attrs.define(eq=False)
 class Node:
-    """One daemon process of ours, and when it was disturbed or told to stop."""
+    """One control or entry process, and when faults or planned stops hit it."""
 
     name: str
     host: str
@@ -72,18 +72,18 @@
         self.start_count += 1
 
     def record_disturbance(self):
-        """Note that a fault touched the process now; when that was."""
+        """Record a fault on the process now; its time (monotonic, s)."""
         self.disturbed_s.append(time.monotonic())
         return self.disturbed_s[-1]
 
     def signal(self, number):
-        """Send *number* to the process, if it runs."""
+        """Send signal *number* to the process, if it is running."""
         self.record_disturbance()
         if self.popen is not None and self.popen.poll() is None:
             os.kill(self.popen.pid, number)
 
     def kill(self):
-        """Kill the process at the end of a run, which is no fault, and wait."""
+        """Kill the process at the end of a run and wait; not recorded as a fault."""
         if self.popen is not None and self.popen.poll() is None:
             self.popen.kill()
             self.popen.wait(10)
@@ -91,7 +91,7 @@
 
 @attrs.define(eq=False)
 class Cluster:
-    """Everything of one run."""
+    """The processes, backends and records of one run."""
 
     folder: str
     seed: int
@@ -113,7 +113,7 @@
         cluster = cls(folder, seed)
         cluster.admin_port, cluster.port = deploy.free_port(), deploy.free_port()
         inner, ready = deploy.free_port(), deploy.free_port()
-        # Runs side by side must not meet: each has addresses of its own.
+        # Concurrent runs must not reach one another, so each has its own addresses.
         net = f"127.{1 + os.getpid() % 200}.{seed % 250}"
         seeds = ",".join(f"{net}.{i + 1}:{cluster.admin_port}" for i in range(CONTROLS))
         common = {
@@ -135,12 +135,12 @@
         return cluster
 
     def add(self, nodes, name, host, role, env):
-        """One more process of ours."""
+        """Add a control or entry process to *nodes*."""
         log = os.path.join(self.folder, f"{name}.log")
         nodes.append(Node(name, host, role, env, log))
 
     def start(self):
-        """Start everything and wait until the first document is in force."""
+        """Start backends, proxies, nodes and heartbeats, without waiting for them."""
         rng = random.Random(self.seed)
         for i in range(BACKENDS):
             self.start_backend(f"i-{i}", random.Random(rng.random()))
@@ -149,7 +149,7 @@
         threading.Thread(target=self.send_heartbeats, daemon=True).start()
 
     def start_backend(self, server_id, rng):
-        """One back end behind its proxy."""
+        """Start one backend and the proxy in front of it."""
         backend = servers.Backend(
             server_id, "desk", rng, self.executions, arrivals=self.arrivals
         )
@@ -164,14 +164,14 @@
         self.proxies.append((proxy, listen, steer))
 
     def set_link_fault(self, index, mode, direction="both", delay_ms=0):
-        """Put a fault in force on the way to back end *index*."""
+        """Set the fault on the link to backend *index*."""
         now_s, server_id = time.monotonic(), self.backends[index].server_id
         self.link_faults_s.append(now_s)
         self.link_faults_s_by_id.setdefault(server_id, []).append(now_s)
         client.fault(self.proxies[index][2], mode, direction, delay_ms)
 
     def post_to_any_control(self, path, body):
-        """Tell any control that answers; whether one acknowledged."""
+        """Post to the controls in turn; whether one acknowledged."""
         for node in self.controls:
             try:
                 if (
@@ -184,7 +184,7 @@
         return False
 
     def send_heartbeats(self):
-        """Heartbeats of the back ends until the run ends."""
+        """Send the backends' heartbeats until the run ends."""
         while not self.stop_event.wait(HEARTBEAT_INTERVAL_S):
             for backend, (_, listen, _) in zip(
                 self.backends, self.proxies, strict=False
@@ -193,7 +193,7 @@
                     self.send_heartbeat(backend, listen)
 
     def send_heartbeat(self, backend, port):
-        """One heartbeat; whether a control acknowledged it."""
+        """Send one heartbeat; whether a control acknowledged it."""
         backend.sequence += 1
         heartbeat = {
             "service": backend.service,
@@ -207,7 +207,7 @@
         return self.post_to_any_control(path, json.dumps(heartbeat))
 
     def stop(self):
-        """End every process that this run started."""
+        """Stop every process and backend that this run started."""
         self.stop_event.set()
         for node in self.controls + self.entries:
             node.kill()
--- a/dunlinpoint/soak/faults.py
+++ b/dunlinpoint/soak/faults.py
@@ -1,8 +1,8 @@
-"""The schedule of faults that a seed gives.
+"""The fault schedule of a seed.
 
-Faults come in series and overlap; each heals by itself after a while. Only one
-control at a time loses its disk or refuses to write, which is what three are
-meant to bear; anything else may meet.
+Faults follow one another and overlap; each is healed after its duration. Only one
+control at a time loses its disk or can't write, as three controls tolerate one such
+failure; any other faults may coincide.
 """
 
 import os
@@ -33,13 +33,17 @@
     "change": 6,
     "race": 2,
 }
-# Faults that take a control's disk or its writes from it.
+# Faults that cost a control its disk, its writes or its process. Two of these never
+# overlap.
 DISK_KINDS = {"lose_disk", "disk_full", "kill_control", "freeze_control"}
 
 
 @attrs.frozen
 class Fault:
-    """One fault: when, what, on which of the things it fits, for how long."""
+    """One fault: start (s from the start of the run), kind, target, duration (s).
+
+    *index* selects the target, modulo the number of targets of this kind.
+    """
 
     at_s: float
     kind: str
@@ -48,7 +52,7 @@
 
 
 def schedule(seed):
-    """The faults of *seed*, in order of time."""
+    """The faults of *seed*, ordered by start time."""
     rng = random.Random(f"faults {seed}")
     faults, now, next_disk_fault_s = [], 1.0, 0.0
     while now < SCHEDULE_LENGTH_S:
@@ -58,7 +62,7 @@
             if now < next_disk_fault_s:
                 kind = "change"
             else:
-                # Long enough to be back and a voter again.
+                # Leaves the control time to restart and become a voter again.
                 next_disk_fault_s = now + duration_s + 4.0
         faults.append(Fault(now, kind, rng.randrange(64), duration_s))
         now += rng.uniform(*FAULT_INTERVAL_S)
@@ -66,7 +70,7 @@
 
 
 def inject(cluster, operator, fault):
-    """Put *fault* in force; a function that heals it."""
+    """Inject *fault*; a function that heals it, or ``None`` if nothing is to heal."""
     kind, index = fault.kind, fault.index
     entry = cluster.entries[index % len(cluster.entries)]
     control = cluster.controls[index % len(cluster.controls)]
@@ -115,7 +119,7 @@
 
 
 def _terminate(node):
-    """A planned stop; the process is started again once it has ended."""
+    """Stop a process with SIGTERM; healing restarts it once it has exited."""
     node.signal(signal.SIGCONT)
     node.stopped_s.append(node.record_disturbance())
     node.signal(signal.SIGTERM)
@@ -128,7 +132,7 @@
 
 
 def _block_writes(node):
-    """A folder in the place of the file that is written next."""
+    """Make writes fail: a folder takes the path of the file written next."""
     blocked = os.path.join(node.env["data"], "control-state.json.new")
     node.record_disturbance()
     try:
--- a/dunlinpoint/soak/run.py
+++ b/dunlinpoint/soak/run.py
@@ -1,4 +1,4 @@
-"""One seed or many, from the command line."""
+"""Command line: runs one or more seeds."""
 
 import argparse
 import json
@@ -15,7 +15,7 @@
 from dunlinpoint.soak import cluster as clusters
 
 READY_TIMEOUT_S = 20.0
-# After the last fault: long enough for a planned stop and a new voter.
+# After the last fault: covers a planned stop and the admission of a new voter.
 RECOVERY_TIMEOUT_S = 5.0
 READ_INTERVAL_S = 0.7
 MAX_SEEDS = 200
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Verdict:
-    """What one seed gave."""
+    """The result of one seed, printed as a JSON line."""
 
     seed: int
     requests: int
@@ -35,7 +35,7 @@
 
 
 def play(seed, telling=False):
-    """Play *seed*, with *telling* back ends if asked for; its ``Verdict``."""
+    """Run *seed*; its ``Verdict``. With *telling*, three backends send load signals."""
     folder = tempfile.mkdtemp(prefix=f"soak-{seed}-")
     cluster = clusters.Cluster.from_seed(folder, seed)
     rng = random.Random(f"callers {seed}")
@@ -60,8 +60,8 @@
         for thread in threads:
             thread.join(10)
         cluster.stop()
-    violations += checks.broken(cluster, results, operator)
-    violations += signals.broken(cluster, results)
+    violations += checks.violations(cluster, results, operator)
+    violations += signals.violations(cluster, results)
     answered = sum(1 for s in results if s.status == 200 and s.is_complete)
     return Verdict(
         seed,
@@ -75,14 +75,14 @@
 
 
 def wait_ready(cluster, operator):
-    """Wait until the first document is in force and requests are served."""
+    """Send the first document and wait until every entry serves requests."""
     operator.replace_document(1)
     if wait_for(cluster.entries, lambda node: serves(cluster, node), READY_TIMEOUT_S):
         raise RuntimeError(f"seed {cluster.seed}: not ready after {READY_TIMEOUT_S} s")
 
 
 def serves(cluster, node):
-    """Whether an entry answers a request that may run again."""
+    """Whether an entry answers an idempotent request."""
     headers = {
         "Authorization": f"Bearer {clusters.API_KEY}",
         "X-Dunlinpoint-Attempt-Id": f"ready-{time.monotonic()}",
@@ -92,28 +92,31 @@
         status = clusters.http_request(
             node.host, cluster.port, "POST", "/often/x", b"{}", headers
         )
-    except Exception:  # anything but an answer is no answer
+    except Exception:  # any failure counts as no answer
         return False
     return status[0] == 200
 
 
 def check_recovery(cluster):
-    """Once all faults have healed, every entry serves soon after it listens.
+    """Once all faults are healed, every entry serves soon after it listens.
 
-    Loading its libraries is the machine's matter: beside ten other runs that
-    alone took 6 to 9 s, and the entry served 0.2 s later.
+    The time until it listens has its own, longer bound: with ten other runs on the
+    machine, loading the libraries alone took 6 to 9 s, and the entry served 0.2 s
+    later.
     """
     failing = wait_for(
         cluster.entries, lambda node: listens(cluster, node), READY_TIMEOUT_S
     )
-    found = [f"{node.name} does not start again" for node in failing]
+    found = [f"{node.name} did not restart" for node in failing]
     started = [node for node in cluster.entries if node not in failing]
     failing = wait_for(started, lambda node: serves(cluster, node), RECOVERY_TIMEOUT_S)
-    return found + [f"{node.name} does not serve after all faults" for node in failing]
+    return found + [
+        f"{node.name} does not serve after the last fault" for node in failing
+    ]
 
 
 def wait_for(nodes, condition, timeout_s):
-    """Those of *nodes* for which ``condition(node)`` did not come within *timeout_s*."""
+    """Wait for ``condition(node)`` on all *nodes*; those without it at the timeout."""
     deadline_s = time.monotonic() + timeout_s
     pending = list(nodes)
     while pending and time.monotonic() < deadline_s:
@@ -123,7 +126,7 @@
 
 
 def listens(cluster, node):
-    """Whether an entry takes connections."""
+    """Whether an entry accepts connections."""
     try:
         with socket.create_connection((node.host, cluster.port), timeout=1):
             return True
@@ -132,7 +135,7 @@
 
 
 def run_schedule(cluster, operator, planned):
-    """Put the faults in force and heal them, each at its time."""
+    """Inject and heal the *planned* faults, each at its time."""
     start_s = time.monotonic()
     active_faults, faulted_targets, reads_s = [], set(), 0.0
     planned = list(planned)
@@ -159,7 +162,7 @@
 
 
 def restart_exited(cluster, faulted_targets):
-    """Start again what has ended by itself, as whatever runs the processes does."""
+    """Restart processes that exited by themselves, as a process supervisor does."""
     nodes = [(("entry", i), node) for i, node in enumerate(cluster.entries)]
     nodes += [(("control", i), node) for i, node in enumerate(cluster.controls)]
     for target, node in nodes:
@@ -168,7 +171,10 @@
 
 
 def target_of(fault):
-    """What *fault* is on, so that two on one process do not undo each other."""
+    """The target of *fault*; two faults on one target would undo each other.
+
+    ``None`` for faults that may coincide with any other.
+    """
     if fault.kind.endswith("_entry"):
         return "entry", fault.index % clusters.ENTRIES
     if fault.kind in ("cut", "freeze_link", "one_way", "delay"):
@@ -179,19 +185,21 @@
 
 
 def main(argv=None):
-    """Play seeds and print a line for each; exit code 1 if one broke a promise."""
+    """Run seeds and print a line for each; exit code 1 if a guarantee was violated."""
     parser = argparse.ArgumentParser(prog="dunlinpoint.soak")
-    parser.add_argument("--seeds", default="", help="seeds, joined by commas")
-    parser.add_argument("--fresh", type=int, default=0, help="so many new seeds")
+    parser.add_argument("--seeds", default="", help="comma-separated seeds")
+    parser.add_argument(
+        "--fresh", type=int, default=0, help="number of new random seeds"
+    )
     parser.add_argument(
-        "--telling", action="store_true", help="back ends say what they take"
+        "--telling", action="store_true", help="backends send load signals"
     )
     args = parser.parse_args(argv)
     seeds = [int(seed) for seed in args.seeds.split(",") if seed]
     fresh = random.SystemRandom()
     seeds += [fresh.randrange(1 << 31) for _ in range(args.fresh)]
     if not 0 < len(seeds) <= MAX_SEEDS:
-        parser.error(f"1 to {MAX_SEEDS} seeds are wanted")
+        parser.error(f"give 1 to {MAX_SEEDS} seeds")
     failed = 0
     for seed in seeds:
         verdict = play(seed, args.telling)
--- a/dunlinpoint/soak/servers.py
+++ b/dunlinpoint/soak/servers.py
@@ -1,8 +1,8 @@
-"""Back ends that misbehave on their own, and what they ran.
+"""Backends that fail some requests, and a record of what they executed.
 
-Each is a small HTTP server in a thread. It answers with its mark and the
-request's id, fails some requests in ways that its seed draws, and notes every
-request that it ran.
+Each backend is a small HTTP server in a thread. It answers with its signature and
+the request's id, fails some requests in modes drawn from its seed, and records every
+request that it executed.
 """
 
 import http.server
@@ -21,7 +21,7 @@
 EVENT_COUNT = 8
 EVENT_INTERVAL_S = 0.04
 PROCESSING_TIME_S = 0.02
-# What a server does with a request, and how often of a hundred.
+# How a backend responds to a request, with weights in percent.
 RESPONSE_MODE_WEIGHTS = {
     "serve": 88,
     "full": 3,
@@ -39,22 +39,22 @@
 
 
 def body_of(request_id):
-    """The whole plain answer to a request."""
+    """The complete plain answer to a request."""
     return f"answer to {request_id} ".encode() * 20
 
 
 class QuietServer(http.server.ThreadingHTTPServer):
-    """A server whose callers may leave at any moment, as a matter of course."""
+    """A server that logs no error when a client closes its connection early."""
 
     daemon_threads = True
 
     def handle_error(self, request, client_address):
-        """Connections that break are what a soak is about."""
+        """Broken connections are expected: the soak test injects them."""
 
 
 @attrs.define
 class Execution:
-    """One request that a server began to work on."""
+    """One request that a backend started to execute."""
 
     server_id: str
     request_id: str
@@ -64,7 +64,7 @@
 
 @attrs.define(eq=False)
 class Backend:
-    """One server: where it listens, what it ran, whether it is leaving."""
+    """One backend: its port, its executions and arrivals, and its drain state."""
 
     server_id: str
     service: str
@@ -79,7 +79,7 @@
     arrivals: list = attrs.field(factory=list)
 
     def signal_at(self, now_s):
-        """What it says of itself at *now_s*, or ``None``."""
+        """The kind of signal sent at *now_s*, or ``None``."""
         signal_period = self.signal_period
         if (
             signal_period is None
@@ -97,19 +97,19 @@
         threading.Thread(target=server.serve_forever, daemon=True).start()
 
     def stop(self):
-        """Take no more connections."""
+        """Stop the server and close its listening socket."""
         self.http_server.shutdown()
         self.http_server.server_close()
 
     def draw_response_mode(self):
-        """What to do with the next request."""
+        """Draw how to respond to the next request."""
         return self.rng.choices(
             list(RESPONSE_MODE_WEIGHTS), RESPONSE_MODE_WEIGHTS.values()
         )[0]
 
 
 class Handler(http.server.BaseHTTPRequestHandler):
-    """One connection to a back end."""
+    """One connection to a backend."""
 
     protocol_version = "HTTP/1.1"
     signal = None
@@ -118,7 +118,7 @@
         pass
 
     def send_status(self, status):
-        """The status line, and what the back end says of itself."""
+        """Send the status line and the headers of the current signal."""
         self.send_response(status)
         for name, value in signals.SIGNAL_HEADERS.get(self.signal, {}).items():
             self.send_header(name, value)
@@ -176,7 +176,7 @@
                 self.respond(200, {SIGNATURE_HEADER: backend.server_id}, data)
 
     def respond(self, status, headers, data, sent=None):
-        """Answer with *data*, or only its first *sent* bytes."""
+        """Answer with *data*, or with only its first *sent* bytes."""
         self.send_status(status)
         self.send_header(
             ATTEMPT_ID_HEADER,
@@ -189,7 +189,7 @@
         self.wfile.write(data[:sent])
 
     def send_stream(self, request_id, last, truncated):
-        """Events after *last*, broken off inside one if *broken*."""
+        """Send the events after *last*; if *truncated*, stop within the third one."""
         self.send_status(200)
         self.send_header(ATTEMPT_ID_HEADER, request_id)
         self.send_header(SIGNATURE_HEADER, self.server.backend.server_id)
@@ -207,5 +207,5 @@
         self.send_chunk(b"")
 
     def send_chunk(self, data):
-        """One piece of a chunked body; an empty one ends it."""
+        """Send one chunk of the body; an empty one ends it."""
         self.wfile.write(f"{len(data):x}\r\n".encode() + data + b"\r\n")
--- a/dunlinpoint/soak/signals.py
+++ b/dunlinpoint/soak/signals.py
@@ -1,8 +1,9 @@
-"""Back ends that say for a while what they take, and whether entries heed it.
+"""Backends that send load signals for a period, and a check that entries comply.
 
-One back end names a limit, one asks for rest with each refusal, one says that it
-leaves, each from its own moment on. An arrival is judged where nothing disturbed its
-entry, or the way to the back end, since the entry was told.
+One backend sends a rate limit, one refuses every request with Retry-After, and one
+signals that it is draining; each starts at its own time. An arrival is checked only
+if neither its entry nor the link to the backend was disturbed since the entry
+received the signal.
 """
 
 import random
@@ -19,21 +20,22 @@
 }
 START_RANGE_S = (0.0, 4.0)
 PERIOD_S = 8.0
-# What is on its way while an entry is told.
+# Requests sent before the entry received the signal may still arrive this long after.
 IN_FLIGHT_S = 0.5
 WINDOW_S = 4.0
 DRAIN_GRACE_S = 2.5
-# What may reach a resting back end, and a limited one beyond its limit.
-MAX_DURING_BACKOFF = 2
+# Requests that an entry may still send to a backend during its backoff.
+MAX_REQUESTS_DURING_BACKOFF = 2
+# A limited backend may receive the limit times this factor, plus the allowance.
 RATE_LIMIT_TOLERANCE = 1.5
 RATE_LIMIT_ALLOWANCE = 5
-# How long a fault of a link may hold a request or an answer up.
+# The longest time that a link fault may hold a request or an answer.
 MAX_LINK_HOLD_S = 4.0
 
 
 @attrs.frozen
 class SignalPeriod:
-    """What a back end says of itself, from when to when (s)."""
+    """The signal that a backend sends from *start_s* to *end_s* (monotonic time)."""
 
     kind: str
     start_s: float
@@ -42,7 +44,7 @@
 
 @attrs.frozen
 class Arrival:
-    """A request that reached a back end, and what the back end said then."""
+    """A request that reached a backend, and the signal it was answered with."""
 
     server_id: str
     request_id: str
@@ -51,7 +53,7 @@
 
 
 def assign_signal_periods(seed, backends, now_s):
-    """Give each of three back ends of *seed* a spell, beginning after *now_s*."""
+    """Give one signal each to three backends, drawn by *seed*; start after *now_s*."""
     rng = random.Random(f"notices {seed}")
     for kind, backend in zip(
         (RATE_LIMIT, BACKOFF, DRAINING), rng.sample(backends, 3), strict=True
@@ -61,7 +63,7 @@
 
 
 def violations(cluster, results):
-    """What was not heeded, as lines of text."""
+    """One line for each signal that an entry did not comply with."""
     entry_by_request = {request.request_id: request.entry for request in results}
     arrivals_by_path = {}
     for arrival in sorted(cluster.arrivals, key=lambda a: a.at_s):
@@ -86,7 +88,7 @@
     link_faults_s = cluster.link_faults_s_by_id.get(server_id, [])
 
     def is_undisturbed(first_s, last_s):
-        """Whether nothing was disturbed between an answer and an arrival."""
+        """Whether no fault touched entry or link between the two times."""
         delayed = any(
             first_s - MAX_LINK_HOLD_S <= at_s <= last_s for at_s in link_faults_s
         )
@@ -105,8 +107,10 @@
     for signalled_s in _signalled_s(arrivals, BACKOFF):
         end_s = signalled_s + BACKOFF_S
         late = [a for a in arrivals if signalled_s + IN_FLIGHT_S < a.at_s < end_s]
-        if len(late) > MAX_DURING_BACKOFF and is_undisturbed(signalled_s, end_s):
-            return [f"{server_id} rested and got {len(late)} requests from {entry}"]
+        if len(late) > MAX_REQUESTS_DURING_BACKOFF and is_undisturbed(
+            signalled_s, end_s
+        ):
+            return [f"{server_id} got {len(late)} requests from {entry} during backoff"]
     return []
 
 
@@ -121,12 +125,12 @@
         and is_undisturbed(signalled_s[0], a.at_s)
     ]
     if late:
-        return [f"{server_id} left and got {len(late)} requests from {entry}"]
+        return [f"{server_id} got {len(late)} requests from {entry} while draining"]
     return []
 
 
 def _informed_arrivals_s(arrivals, is_undisturbed):
-    """When requests came from an entry that had been told, while the limit held."""
+    """Arrival times under the limit from an entry that had received the limit."""
     signalled_s = _signalled_s(arrivals, RATE_LIMIT)
     return [
         at_s
@@ -140,5 +144,5 @@
     for first_s in times_s:
         count = sum(first_s <= at_s < first_s + WINDOW_S for at_s in times_s)
         if count > allowed:
-            return [f"{server_id} named a limit and got {count} requests in 4 s"]
+            return [f"{server_id} sent a rate limit and got {count} requests in 4 s"]
     return []
--- a/dunlinpoint/soak/tests/test_checks.py
+++ b/dunlinpoint/soak/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""The soak's checks see what they are there for."""
+"""The soak test's checks detect each violation."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 def finished_cluster(stopped_s=(), disturbed_s=()):
-    """A world with one entry, as it is after its processes were ended."""
+    """A cluster with one entry, after its processes were stopped."""
     finished = cluster.Cluster("", 1)
     finished.entries = [cluster.Node(ENTRY, "h", "r", {}, "")]
     finished.entries[0].stopped_s = list(stopped_s)
@@ -32,17 +32,16 @@
     return checks.violations(finished, list(requests), operator)
 
 
-def test_a_request_cut_by_the_first_of_two_stops_is_seen():
-    # Symptom: a soak that passes whatever happens. Sequence: an entry is
-    # stopped twice, the first stop cuts a request. Cause: only the last stop
-    # of a process was kept.
+def test_a_request_interrupted_by_the_first_of_two_stops_is_detected():
+    # Guards against a soak test that always passes: an entry is stopped twice and the
+    # first stop interrupts a request, but only the last stop was recorded.
     finished = finished_cluster(stopped_s=[11.0, 15.0])
     finished.executions = [execution()]
     assert len(violations(finished, [result()])) == 1
 
 
 @pytest.mark.parametrize("response_mode", sorted(checks.TRUNCATING_MODES))
-def test_what_a_back_end_broke_off_is_not_the_stops_fault(response_mode):
+def test_an_answer_truncated_by_a_backend_is_not_blamed_on_the_stop(response_mode):
     finished = finished_cluster(stopped_s=[11.0])
     finished.executions = [execution(response_mode=response_mode)]
     assert violations(finished, [result()]) == []
@@ -54,22 +53,22 @@
     return operator
 
 
-def test_new_work_at_a_back_end_that_leaves_is_seen():
-    # Symptom as above. Sequence: a back end leaves and goes on getting
-    # requests; the run ends. Cause: ending the processes counted as a fault,
-    # and a fault excuses late requests.
+def test_new_requests_at_a_draining_backend_are_detected():
+    # Guards against a soak test that always passes: a draining backend still gets
+    # requests, but stopping the processes at the end of the run counted as a fault,
+    # and a fault exempts late requests.
     finished = finished_cluster()
     finished.executions = [execution(at_s=20.0 + checks.DRAIN_GRACE_S + 1)]
     assert len(violations(finished, operator=drained(finished))) == 1
 
 
-def test_a_disturbed_process_may_hear_of_it_later():
+def test_a_disturbed_process_may_learn_of_the_drain_later():
     finished = finished_cluster(disturbed_s=[21.0])
     finished.executions = [execution(at_s=20.0 + checks.DRAIN_GRACE_S + 1)]
     assert violations(finished, operator=drained(finished)) == []
 
 
-def test_foreign_answers_second_runs_and_false_refusals_are_seen():
+def test_foreign_answers_second_executions_and_false_refusals_are_detected():
     finished = finished_cluster()
     finished.executions = [execution(), execution()]
     assert len(violations(finished, [result("/once/", 503, True)])) == 1
@@ -79,7 +78,7 @@
     assert len(violations(finished, [foreign])) == 1
 
 
-def test_a_document_older_than_an_acknowledged_one_is_seen():
+def test_a_document_older_than_an_acknowledged_one_is_detected():
     finished = finished_cluster()
     operator = callers.Operator(finished, None)
     operator.acknowledged = [callers.AcknowledgedDocument(5, 10.0)]
@@ -90,7 +89,7 @@
 
 
 def signal_violations(kind, times_s, disturbed_s=(), signalled_s=10.0):
-    """What is found where one entry's requests came at *times_s* after being told."""
+    """Violations if one entry's requests arrive at *times_s* after the signal."""
     finished = finished_cluster(disturbed_s=disturbed_s)
     arrivals = [signals.Arrival("i-0", "r", signalled_s, kind)]
     signal = kind if kind == signals.RATE_LIMIT else None
@@ -112,8 +111,8 @@
 
 
 @pytest.mark.parametrize("kind", sorted(VIOLATING))
-def test_what_a_back_end_said_in_vain_is_seen(kind):
-    # Guards against a soak that passes whatever entries do with it.
+def test_ignored_signals_are_detected(kind):
+    # Guards against a soak test that passes although entries ignore the signals.
     assert len(signal_violations(kind, VIOLATING[kind])) == 1
     assert signal_violations(kind, VIOLATING[kind], disturbed_s=[10.5]) == []
     assert signal_violations(kind, ALLOWED[kind]) == []
