--- a/dunlinpoint/faults/__init__.py
+++ b/dunlinpoint/faults/__init__.py
@@ -1,1 +1,1 @@
-"""The fault-injecting TCP proxy used by the integration tests."""
+"""A fault-injecting TCP proxy for the soak and integration tests."""
--- a/dunlinpoint/faults/proxy.py
+++ b/dunlinpoint/faults/proxy.py
@@ -1,25 +1,22 @@
-"""A fault-injecting TCP proxy, steered over HTTP.
+"""A fault-injecting TCP proxy, controlled over HTTP.
 
-It forwards every connection it accepts to one target and applies the
-fault in force to the bytes going ``up`` (caller to target), ``down``
-(target to caller) or ``both``:
+It forwards every accepted connection to one target and applies the current fault to
+the bytes going ``up`` (caller to target), ``down`` (target to caller) or ``both``:
 
 ==========  ===============================================================
 mode        effect
 ==========  ===============================================================
 ``pass``    forward at once
-``delay``   hold each piece ``delay_ms`` before forwarding
-``reorder`` hold each piece a random 0 to ``delay_ms``, keeping order
-            within a connection, so answers overtake each other across
-            connections
-``freeze``  hold everything until the mode changes, then release in order
+``delay``   forward each chunk after ``delay_ms``
+``reorder`` forward each chunk after a random 0 to ``delay_ms``; the order is
+            kept within a connection, but not across connections
+``freeze``  hold all bytes until the mode changes, then release in order
 ``drop``    discard the bytes; connections stay open (a black hole)
-``cut``     close every connection and refuse new ones
+``cut``     abort every connection, and new ones on accept
 ==========  ===============================================================
 
-Pieces are never duplicated: the proxy sees bytes, not messages, and it
-parses no protocol. Repeated messages are tested where they arise, in our
-own retries.
+Chunks are never duplicated: the proxy forwards bytes and parses no protocol, so it
+can't repeat a message. Repeated messages are tested where retries send them.
 
 HTTP: ``POST /fault`` ``{"mode", "direction", "delay_ms"}``; ``GET /fault``.
 """
@@ -41,27 +38,27 @@
 
 
 class FaultError(ValueError):
-    """A fault order that names no known mode or direction."""
+    """A requested fault has an unknown mode or direction."""
 
 
 @attrs.define
 class Fault:
-    """The fault in force."""
+    """The current fault."""
 
     mode: str = "pass"
     direction: str = "both"
     delay_ms: int = 0
 
     @classmethod
-    def from_order(cls, order):
-        """A ``Fault`` from a JSON order; raises ``FaultError``."""
+    def from_json(cls, fields):
+        """A ``Fault`` from a decoded JSON object; raises ``FaultError``."""
         fault = cls(
-            mode=order.get("mode", "pass"),
-            direction=order.get("direction", "both"),
-            delay_ms=int(order.get("delay_ms", 0)),
+            mode=fields.get("mode", "pass"),
+            direction=fields.get("direction", "both"),
+            delay_ms=int(fields.get("delay_ms", 0)),
         )
         if fault.mode not in MODES or fault.direction not in DIRECTIONS:
-            raise FaultError(f"unknown fault {order!r}")
+            raise FaultError(f"unknown fault {fields!r}")
         return fault
 
     def applies(self, direction):
@@ -70,10 +67,10 @@
 
 @attrs.define(eq=False)
 class Pipe:
-    """One direction of one proxied connection, with what it holds back."""
+    """One direction of one proxied connection, with its held and delayed chunks."""
 
     direction: str
-    to: object = None
+    receiver: object = None
     held: list = attrs.field(factory=list)
     delayed: collections.deque = attrs.field(factory=collections.deque)
     release_ms: int = 0
@@ -81,37 +78,37 @@
 
 @attrs.define
 class Proxy:
-    """Target, fault in force, and the live connections."""
+    """The target, the current fault and the open connections."""
 
     target: tuple
     reactor: object = None
     fault: Fault = attrs.field(factory=Fault)
-    links: set = attrs.field(factory=set)
+    connections: set = attrs.field(factory=set)
     rng: random.Random = attrs.field(factory=lambda: random.Random(7))
     forwarded: int = 0
 
-    def steer(self, fault):
-        """Put *fault* in force; release what a freeze held."""
+    def set_fault(self, fault):
+        """Make *fault* the current one; release chunks that a freeze held."""
         self.fault = fault
-        for link in list(self.links):
+        for connection in list(self.connections):
             if fault.mode == "cut":
-                link.transport.abortConnection()
+                connection.transport.abortConnection()
                 continue
-            for pipe in (link.up, link.down):
+            for pipe in (connection.up, connection.down):
                 if fault.mode != "freeze" or not fault.applies(pipe.direction):
                     held, pipe.held = pipe.held, []
                     for data in held:
                         self.send(pipe, data)
 
-    def carry(self, pipe, data):
-        """Apply the fault in force to *data* going through *pipe*."""
+    def forward(self, pipe, data):
+        """Apply the current fault to *data* going through *pipe*."""
         fault = self.fault
         if not fault.applies(pipe.direction) or fault.mode == "pass":
             if pipe.held:
                 pipe.held.append(data)
             elif pipe.delayed:
-                # Sent at once, it would overtake what is still delayed, which
-                # no connection does: a stream came out with its events swapped.
+                # Sent at once, it would overtake delayed chunks of the same
+                # connection, which TCP never does: a stream's events were swapped.
                 self.delay(pipe, data, 0)
             else:
                 self.send(pipe, data)
@@ -123,20 +120,20 @@
             self.delay(pipe, data, self.rng.randint(0, fault.delay_ms))
 
     def delay(self, pipe, data, wait_ms):
-        """Send *data* after *wait_ms*, and after all that is delayed already."""
+        """Send *data* after *wait_ms*, and after all chunks already delayed."""
         now = clock.Clock(self.reactor).now()
         pipe.release_ms = max(pipe.release_ms, now + wait_ms)
         pipe.delayed.append(data)
         self.reactor.callLater(clock.seconds(pipe.release_ms - now), self.release, pipe)
 
     def release(self, pipe):
-        """Send the piece that was delayed first."""
+        """Send the oldest delayed chunk."""
         self.send(pipe, pipe.delayed.popleft())
 
     def send(self, pipe, data):
-        if pipe.to is not None and pipe.to.transport is not None:
+        if pipe.receiver is not None and pipe.receiver.transport is not None:
             self.forwarded += len(data)
-            pipe.to.transport.write(data)
+            pipe.receiver.transport.write(data)
 
 
 class Outbound(protocol.Protocol):
@@ -146,7 +143,7 @@
         self.inbound = inbound
 
     def dataReceived(self, data):
-        self.inbound.proxy.carry(self.inbound.down, data)
+        self.inbound.proxy.forward(self.inbound.down, data)
 
     def connectionLost(self, reason):
         if self.inbound.transport is not None:
@@ -159,14 +156,14 @@
     def __init__(self, proxy):
         self.proxy = proxy
         self.up = Pipe("up")
-        self.down = Pipe("down", to=self)
+        self.down = Pipe("down", receiver=self)
         self.outbound = None
 
     def connectionMade(self):
         if self.proxy.fault.mode == "cut":
             self.transport.abortConnection()
             return
-        self.proxy.links.add(self)
+        self.proxy.connections.add(self)
         self.transport.pauseProducing()
         host, port = self.proxy.target
         endpoint = endpoints.TCP4ClientEndpoint(self.proxy.reactor, host, port)
@@ -175,14 +172,14 @@
 
     def _connected(self, outbound):
         self.outbound = outbound
-        self.up.to = outbound
+        self.up.receiver = outbound
         self.transport.resumeProducing()
 
     def dataReceived(self, data):
-        self.proxy.carry(self.up, data)
+        self.proxy.forward(self.up, data)
 
     def connectionLost(self, reason):
-        self.proxy.links.discard(self)
+        self.proxy.connections.discard(self)
         if self.outbound is not None and self.outbound.transport is not None:
             self.outbound.transport.loseConnection()
 
@@ -193,17 +190,17 @@
 
 
 def app(proxy):
-    """The steering HTTP interface."""
+    """The HTTP interface that sets and shows the current fault."""
     web = Klein()
 
     @web.route("/fault", methods=["POST"])
     def put(request):
         try:
-            fault = Fault.from_order(json.loads(request.content.read() or b"{}"))
+            fault = Fault.from_json(json.loads(request.content.read() or b"{}"))
         except (FaultError, ValueError) as exc:
             request.setResponseCode(400)
             return json.dumps({"error": str(exc)})
-        proxy.steer(fault)
+        proxy.set_fault(fault)
         return json.dumps(attrs.asdict(fault))
 
     @web.route("/fault", methods=["GET"])
--- a/dunlinpoint/faults/tests/test_proxy.py
+++ b/dunlinpoint/faults/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The fault-injecting proxy does nothing that a connection can't do."""
+"""The fault-injecting proxy behaves as a TCP connection can."""
 
 import attrs
 from twisted.internet import task
@@ -8,7 +8,7 @@
 
 @attrs.define
 class End:
-    """One end of a connection, and what it was sent."""
+    """One end of a connection, with the chunks written to it."""
 
     written: list = attrs.field(factory=list)
 
@@ -20,18 +20,17 @@
         self.written.append(data)
 
 
-def test_a_delay_that_ends_does_not_swap_pieces():
-    # Symptom: a stream ends as whole with an event missing. Sequence: its
-    # first event is delayed, the delay ends, the second event is sent at
-    # once and the first comes after it; an event with a lower id is dropped.
-    # Cause: the proxy let a piece overtake a delayed one.
+def test_a_delay_that_ends_does_not_reorder_chunks():
+    # Guards against a proxy that lets a chunk overtake a delayed one: the first event
+    # of a stream is delayed, the delay ends, and the second is sent at once. The first
+    # then has the lower id and is dropped, so the stream ends normally without it.
     reactor = task.Clock()
     faulty = proxy.Proxy(("h", 1), reactor)
-    pipe = proxy.Pipe("down", to=End())
-    faulty.steer(proxy.Fault("delay", delay_ms=100))
-    faulty.carry(pipe, b"1")
-    faulty.steer(proxy.Fault())
-    faulty.carry(pipe, b"2")
+    pipe = proxy.Pipe("down", receiver=End())
+    faulty.set_fault(proxy.Fault("delay", delay_ms=100))
+    faulty.forward(pipe, b"1")
+    faulty.set_fault(proxy.Fault())
+    faulty.forward(pipe, b"2")
     reactor.advance(0.2)
-    faulty.carry(pipe, b"3")
-    assert pipe.to.written == [b"1", b"2", b"3"]
+    faulty.forward(pipe, b"3")
+    assert pipe.receiver.written == [b"1", b"2", b"3"]
--- a/dunlinpoint/lab/churn.py
+++ b/dunlinpoint/lab/churn.py
@@ -1,10 +1,9 @@
-"""Apply many document changes in a row, as operators do over a day.
+"""Apply many document changes in sequence, as operators do over a day.
 
-``python -m dunlinpoint.lab.churn --controls H:P,... --count N`` proposes N
-documents one after another, each against the version the last one got,
-through whichever control answers first, and prints one JSON line: how
-many were accepted, the last version, and milliseconds per change (p50,
-p99). Bounded by N (at most 5,000).
+``python -m dunlinpoint.lab.churn --controls H:P,... --count N`` proposes N documents
+(at most 5,000) one after another, each against the version of the previous one. Each
+goes to the controls in turn until one answers. Prints one JSON line: the number of
+accepted changes, the last version, and milliseconds per change (p50, p99).
 """
 
 import argparse
@@ -24,7 +23,7 @@
 
 
 def document(i):
-    """The *i*-th document of a churn run: one workspace more each time."""
+    """The *i*-th document of a run, as JSON text; it has ``i % 50 + 1`` workspaces."""
     workspaces = [config.Workspace(name=f"ws-{j}") for j in range(i % 50 + 1)]
     return config.dump(attrs.evolve(config.DEFAULT, workspaces=workspaces))
 
@@ -35,9 +34,9 @@
         rpc.Link(reactor, host, port, Control.Client, TIMEOUT_MS)
         for host, port in controls
     ]
-    version, accepted, took = start, 0, []
+    version, accepted, durations_ms = start, 0, []
     for i in range(count):
-        began = time.monotonic()
+        start_s = time.monotonic()
         for link in links:
             try:
                 result = yield link.call(
@@ -49,14 +48,18 @@
                 accepted += 1
             version = result.version
             break
-        took.append((time.monotonic() - began) * 1000)
-    took.sort()
+        durations_ms.append((time.monotonic() - start_s) * 1000)
+    durations_ms.sort()
     return {
         "count": count,
         "accepted": accepted,
         "version": version,
-        "ms_per_change_p50": round(took[len(took) // 2], 2) if took else None,
-        "ms_per_change_p99": round(took[int(len(took) * 0.99)], 2) if took else None,
+        "ms_per_change_p50": round(durations_ms[len(durations_ms) // 2], 2)
+        if durations_ms
+        else None,
+        "ms_per_change_p99": round(durations_ms[int(len(durations_ms) * 0.99)], 2)
+        if durations_ms
+        else None,
     }
 
 
--- a/dunlinpoint/lab/client.py
+++ b/dunlinpoint/lab/client.py
@@ -1,7 +1,6 @@
-"""Plain blocking HTTP calls to entries, for the load tool's checks and tests.
+"""Blocking HTTP calls to entries, for the load tool's checks and tests.
 
-Answers are parsed into :class:`Answer`: status, headers, the streamed
-lines, and the final line.
+Answers are parsed into :class:`Answer`: status, headers and the streamed JSON lines.
 """
 
 import http.client
@@ -14,7 +13,7 @@
 
 @attrs.define
 class Answer:
-    """One entry answer."""
+    """An entry's answer; *lines* holds its decoded JSON lines."""
 
     status: int
     headers: dict
@@ -30,7 +29,7 @@
 
 
 def post(port, path, body, headers=None):
-    """POST JSON *body* to the entry at *port*; the ``Answer``."""
+    """POST *body* as JSON to 127.0.0.1:*port*; returns the ``Answer``."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
     try:
         connection.request(
@@ -48,7 +47,7 @@
 
 
 def get(port, path):
-    """GET *path* from *port*; the JSON body."""
+    """GET *path* from 127.0.0.1:*port*; returns the decoded JSON body."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
     try:
         connection.request("GET", path)
@@ -58,18 +57,18 @@
 
 
 def generate(port, prompt, max_tokens=8, request_id=None, workspace="ws-0"):
-    """One model request through the entry at *port*."""
+    """Send one model request through the entry at *port*; its ``Answer``."""
     headers = {"x-request-id": request_id} if request_id else {}
     body = {"workspace": workspace, "prompt": prompt, "max_tokens": max_tokens}
     return post(port, "/v1/generate", body, headers)
 
 
 def call(port, operation, key, body):
-    """One plain-service call through the entry at *port*."""
+    """Send one plain-service call through the entry at *port*; its ``Answer``."""
     return post(port, f"/v1/call/{operation}", body, {"idempotency-key": key})
 
 
-def fault(steer_port, mode, direction="both", delay_ms=0):
-    """Put a fault in force at the proxy steered on *steer_port*."""
-    order = {"mode": mode, "direction": direction, "delay_ms": delay_ms}
-    return post(steer_port, "/fault", order).final
+def fault(proxy_port, mode, direction="both", delay_ms=0):
+    """Set the fault of the proxy whose HTTP interface listens on *proxy_port*."""
+    body = {"mode": mode, "direction": direction, "delay_ms": delay_ms}
+    return post(proxy_port, "/fault", body).final
--- a/dunlinpoint/lab/deploy.py
+++ b/dunlinpoint/lab/deploy.py
@@ -1,9 +1,9 @@
 """The processes of one local deployment on loopback.
 
-A profile names zones and how many entries, engine agents and service
-agents each has, and how many control instances there are (with disks).
-Every process gets free ports from the kernel, its own log file under the
-deployment's folder, and is stopped by its pid.
+A profile lists the zones, the numbers of entries, engine agents and service agents in
+each, and the number of control instances (each with a data folder). Every process
+gets a free port and its own log file in the deployment's folder, and is stopped by
+its pid.
 """
 
 import itertools
@@ -21,17 +21,17 @@
 STOP_TIMEOUT_S = 20
 
 
-# Below the range from which the kernel takes ports for outgoing connections:
-# a port from there could be taken again between the choice and the listening
-# process, which then ended, while the port answered for another process.
-FIRST_PORT, LAST_PORT = 20_000, 32_000
+# Below the kernel's range of ephemeral ports. A port in that range could be taken by
+# another process between its choice here and the listen call: the listening process
+# then exited, while the port answered for the other one.
+MIN_PORT, MAX_PORT = 20_000, 32_000
 _ports = itertools.count(os.getpid() * 61)
 
 
 def free_port():
-    """A TCP port on 127.0.0.1 that nothing uses, never the same one twice soon."""
+    """An unused TCP port on 127.0.0.1; a port recurs only after all others."""
     while True:
-        port = FIRST_PORT + next(_ports) % (LAST_PORT - FIRST_PORT)
+        port = MIN_PORT + next(_ports) % (MAX_PORT - MIN_PORT)
         with socket.socket() as probe:
             try:
                 probe.bind(("127.0.0.1", port))
@@ -51,7 +51,7 @@
 
 @attrs.define
 class Process:
-    """One started process of the deployment."""
+    """One process of the deployment; *popen* is ``None`` until it is started."""
 
     name: str
     argv: list
@@ -82,7 +82,10 @@
 
 @attrs.define
 class Deployment:
-    """Processes by name, and the addresses callers and tools need."""
+    """Processes by name, and the addresses that callers and tools need.
+
+    ``steer_by_agent`` maps an agent to the HTTP port of the proxy in front of it.
+    """
 
     folder: str
     by_name: dict = attrs.field(factory=dict)
@@ -92,7 +95,7 @@
 
     @classmethod
     def from_profile(cls, profile, folder):
-        """A deployment laid out from *profile* (dict), not yet started."""
+        """The deployment that *profile* (a dict) describes, not yet started."""
         os.makedirs(folder, exist_ok=True)
         deployment = cls(folder)
         zones = profile["zones"]
@@ -165,17 +168,20 @@
         self.add(f"agent-{name}", port, argv)
 
     def start(self):
-        """Start every process and wait until each listens."""
+        """Start every process; wait until each listens and the controls vote.
+
+        Raises ``RuntimeError`` if a process exits or a wait times out.
+        """
         for process in self.by_name.values():
             process.start()
         self.wait_listening(self.by_name.values())
         deadline = time.monotonic() + READY_TIMEOUT_S
         while not self.settled(self.controls):
             if time.monotonic() > deadline:
-                raise RuntimeError("the controls do not vote")
+                raise RuntimeError(f"controls do not vote after {READY_TIMEOUT_S} s")
 
     def settled(self, controls):
-        """Whether each of *controls* votes on changes (asks ``dunlinctl``)."""
+        """Whether each of *controls* votes on changes, according to ``dunlinctl``."""
         flag = ",".join(f"{host}:{port}" for host, port in controls)
         done = subprocess.run(
             [sys.executable, "-m", "dunlinpoint.cli.ctl", "show", "--controls", flag],
@@ -199,19 +205,22 @@
                 raise RuntimeError(f"{process.name} exited: see {process.log_path}")
 
     def restart(self, name):
-        """Start process *name* again after it stopped."""
+        """Start process *name* again after it stopped; wait until it listens."""
         process = self.by_name[name]
         process.start()
         self.wait_listening([process])
 
     def stop(self, name, number=signal.SIGTERM):
-        """Send *number* to process *name*; its exit code once it ends."""
+        """Send signal *number* to process *name*; its exit code.
+
+        ``None`` if it is still running after ``STOP_TIMEOUT_S``.
+        """
         process = self.by_name[name]
         process.signal(number)
         return process.wait()
 
     def stop_all(self):
-        """End every process this deployment started, by pid."""
+        """Stop every process that this deployment started, by pid."""
         for process in self.by_name.values():
             process.signal(signal.SIGTERM)
         for process in self.by_name.values():
@@ -220,7 +229,7 @@
                 process.wait(5)
 
     def executions(self):
-        """Every execution the service stand-ins recorded, in file order."""
+        """All executions that the service emulators recorded, ordered by file name."""
         found = []
         for name in sorted(os.listdir(self.folder)):
             if name.endswith(".executions"):
--- a/dunlinpoint/lab/load.py
+++ b/dunlinpoint/lab/load.py
@@ -1,14 +1,14 @@
-"""The load and experiment tool: run a local deployment, drive it, report.
+"""The load and experiment tool: runs a local deployment under load and reports.
 
-``python -m dunlinpoint.lab.load [--profile NAME] [--requests N]`` starts
-the named profile's processes on loopback, sends model requests whose
-expert topics drift (Hoshizora's pass windows, the Port Dues morning rush)
-and plain-service calls, applies a new document through ``dunlinctl``,
-and prints one JSON summary: requests answered once each, latency
-percentiles (HDR histogram), step-time skew, executions per key, and the
-seconds until the new document was in force everywhere.
+``python -m dunlinpoint.lab.load [--profile NAME] [--requests N]`` starts the named
+profile's processes on loopback. It sends model requests whose expert topics drift
+(Hoshizora's pass windows, the Port Dues morning rush) and plain-service calls, and
+applies a new document through ``dunlinctl``. It prints one JSON summary: requests
+with a complete answer of their own, latency percentiles (HDR histogram), step-time
+skew, duplicated executions, and the seconds until the new document was in force on
+all processes.
 
-The request count and the time are bounded; every process is ended by pid.
+The number of requests and the run time are bounded; every process is stopped by pid.
 """
 
 import argparse
@@ -44,18 +44,18 @@
     },
 }
 WORKERS = 16
-IN_FORCE_BOUND_S = 10
+IN_FORCE_TIMEOUT_S = 10
 
 
 def topic(drift, i, total):
-    """The expert topic of request *i* of *total* under a drift pattern."""
+    """The expert topic of request *i* of *total* under the pattern *drift*."""
     phase = i / max(1, total)
     if drift == "morning_rush":
         return 0 if phase < 0.5 else 8
     return int(phase * 4) * 4
 
 
-def ctl(controls, *argv):
+def run_ctl(controls, *argv):
     done = subprocess.run(
         [sys.executable, "-m", "dunlinpoint.cli.ctl", *argv, "--controls", controls],
         capture_output=True,
@@ -66,20 +66,24 @@
 
 
 def drive(deployment, profile, count):
-    """Send *count* model requests and *count* // 4 slot confirmations."""
+    """Send *count* model requests and *count* // 4 slot confirmations.
+
+    Returns the number of model requests with a complete answer of their own, the
+    latency histogram (ms) and the answers to the confirmations.
+    """
     ports = [p for ports in deployment.entries_by_zone.values() for p in ports]
     latency = hdrh.histogram.HdrHistogram(1, 60_000, 3)
     answers = {}
 
-    def one(i):
-        began = time.monotonic()
+    def send_request(i):
+        start_s = time.monotonic()
         prompt = f"#{topic(profile['drift'], i, count)} request {i}"
         answer = client.generate(ports[i % len(ports)], prompt, 8, f"req-{i}")
-        latency.record_value(max(1, int((time.monotonic() - began) * 1000)))
+        latency.record_value(max(1, int((time.monotonic() - start_s) * 1000)))
         return i, answer
 
     with concurrent.futures.ThreadPoolExecutor(WORKERS) as pool:
-        for i, answer in pool.map(one, range(count)):
+        for i, answer in pool.map(send_request, range(count)):
             answers[i] = answer
         calls = list(
             pool.map(
@@ -89,69 +93,72 @@
                 range(count // 4),
             )
         )
-    own = sum(
+    own_answers = sum(
         1
         for i, a in answers.items()
         if a.final.get("outcome") == "done"
         and {line["request_id"] for line in a.lines} == {f"req-{i}"}
     )
-    return own, latency, calls
+    return own_answers, latency, calls
 
 
-def summary(deployment, profile, count):
-    """Run the experiment; the summary dict."""
+def run_experiment(deployment, profile, count):
+    """Run the experiment; returns the summary as a dict."""
     controls = ",".join(f"{h}:{p}" for h, p in deployment.controls)
-    own, latency, calls = drive(deployment, profile, count)
+    own_answers, latency, calls = drive(deployment, profile, count)
     executions = deployment.executions()
     keys = [e["key"] for e in executions]
-    skews = []
+    step_reports = []
     for name, process in deployment.by_name.items():
         if name.startswith("engine-") and name.endswith("-backend"):
             report = client.get(process.port, "/steps")
-            skews.append(report)
+            step_reports.append(report)
     path = os.path.join(deployment.folder, "next.json")
     with open(path, "w") as out:
         out.write(config.dump(config.DEFAULT))
-    shown = [json.loads(line) for line in ctl(controls, "show").splitlines()]
+    shown = [json.loads(line) for line in run_ctl(controls, "show").splitlines()]
     current = max(s.get("version", 0) for s in shown)
-    began = time.monotonic()
-    applied = json.loads(ctl(controls, "apply", path, "--expect", str(current)))
+    start_s = time.monotonic()
+    applied = json.loads(run_ctl(controls, "apply", path, "--expect", str(current)))
     in_force_s = None
-    while time.monotonic() - began < IN_FORCE_BOUND_S:
+    while time.monotonic() - start_s < IN_FORCE_TIMEOUT_S:
         ports = [p for ps in deployment.entries_by_zone.values() for p in ps]
         seen = {client.get(p, "/v1/status")["document_version"] for p in ports}
         seen |= {
             json.loads(line)["version"]
-            for line in ctl(controls, "members").splitlines()
+            for line in run_ctl(controls, "members").splitlines()
         }
         if seen == {applied.get("version")}:
-            in_force_s = round(time.monotonic() - began, 2)
+            in_force_s = round(time.monotonic() - start_s, 2)
             break
         time.sleep(0.1)
     return {
         "requests": count,
-        "answered_own_whole": own,
+        "answered_own_whole": own_answers,
         "latency_ms": {q: latency.get_value_at_percentile(q) for q in (50, 95, 99)},
         "calls": len(calls),
         "calls_done": sum(1 for c in calls if c.final.get("outcome") == "done"),
         "executions_doubled": len(keys) - len(set(keys)),
-        "mixed_map_steps": sum(len(s["mixed_steps"]) for s in skews),
-        "step_skew_ms_p99": max((s["skew_ms_p99"] for s in skews), default=0),
+        "mixed_map_steps": sum(len(s["mixed_steps"]) for s in step_reports),
+        "step_skew_ms_p99": max((s["skew_ms_p99"] for s in step_reports), default=0),
         "document_applied": applied,
         "document_in_force_everywhere_s": in_force_s,
     }
 
 
-def wait_members(deployment, bound_s=15):
-    """Wait until every entry sees every agent, at most *bound_s* seconds."""
+def wait_members(deployment, timeout_s=15):
+    """Wait until every entry sees every agent.
+
+    Raises ``RuntimeError`` after *timeout_s* seconds.
+    """
     agents = sum(1 for name in deployment.by_name if name.startswith("agent-"))
     ports = [p for ps in deployment.entries_by_zone.values() for p in ps]
-    deadline = time.monotonic() + bound_s
+    deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
         if all(client.get(p, "/v1/status")["members"] >= agents for p in ports):
             return
         time.sleep(0.05)
-    raise RuntimeError(f"entries did not see {agents} agents in {bound_s} s")
+    raise RuntimeError(f"entries did not see {agents} agents in {timeout_s} s")
 
 
 def main(argv=None):
@@ -168,7 +175,7 @@
     deployment.start()
     try:
         wait_members(deployment)
-        print(json.dumps(summary(deployment, profile, args.requests), indent=2))
+        print(json.dumps(run_experiment(deployment, profile, args.requests), indent=2))
     finally:
         deployment.stop_all()
 
--- a/dunlinpoint/standins/engine.py
+++ b/dunlinpoint/standins/engine.py
@@ -1,17 +1,16 @@
 """A model-engine emulator: a group of ranks stepping in lock-step.
 
-It behaves as the brief says the platform's engines do. Sequences are batched
-continuously (at most ``max_batch`` a step, higher priority first); prompt
-prefixes are cached in a bounded LRU; streams can be resumed from an offset
-and cancelled; a sequence's KV state can be exported and imported; cache
-events are published late and with gaps; load is reported with a lag; orders
-load models, adapters and versions, change role or stage a new expert map,
-and either honour or ignore their fencing number.
-
-Each generated token goes to one expert; the rank holding that expert under
-the map in force does the work, and a step lasts as long as its busiest
-rank. Every step is recorded per rank with the map version it used, so a test
-can check that all ranks of a step used one map.
+It behaves as the platform's engines do. Sequences are batched continuously (at
+most ``max_batch`` a step, higher priority first); prompt prefixes are cached in a
+bounded LRU; streams can be resumed from an offset and cancelled; a sequence's KV
+state can be exported and imported; cache events are published late and with gaps;
+load is reported with a lag. Commands load models, adapters and versions, change the
+role or stage a new expert map; their fencing number is honoured or ignored.
+
+Each generated token is routed to one expert. The rank that holds this expert under
+the current map computes it, and a step takes as long as its busiest rank. Every step
+is recorded per rank with its map version, so that a test can check that all ranks of
+a step used the same map.
 
 HTTP, newline-delimited JSON:
 
@@ -37,16 +36,16 @@
 from dunlinpoint import clock
 
 BASE_STEP_MS = 6
-TOKEN_COST_US = 150
+TOKEN_US = 150
 PREFILL_US_PER_CHAR = 20
 PREFIX_CHARS = 32
-STEP_LOG_SIZE = 20000
-WINDOW_MS = 1000
+STEP_LOG_ENTRIES = 20000
+LOAD_WINDOW_MS = 1000
 
 
 @attrs.define
 class Settings:
-    """What a deployment's engine is like; all times in milliseconds."""
+    """Settings of an emulated engine; all times in milliseconds."""
 
     ranks: int = 4
     experts: int = 16
@@ -85,14 +84,14 @@
 
 
 def expert_of(topic, prompt, index, experts):
-    """The expert a token goes to: mostly near the request's topic."""
-    spread = zlib.crc32(f"{prompt}@{index}".encode()) % 4
-    return (topic + spread) % experts
+    """The expert of a token: one of the four that start at the request's topic."""
+    offset = zlib.crc32(f"{prompt}@{index}".encode()) % 4
+    return (topic + offset) % experts
 
 
 @attrs.define
 class Engine:
-    """State of one emulated engine: sequences, map, cache, records."""
+    """State of one emulated engine: sequences, expert map, prefix cache, records."""
 
     settings: Settings
     clock: clock.Clock
@@ -109,10 +108,10 @@
         factory=lambda: collections.deque(maxlen=1000)
     )
     step_log: collections.deque = attrs.field(
-        factory=lambda: collections.deque(maxlen=STEP_LOG_SIZE)
+        factory=lambda: collections.deque(maxlen=STEP_LOG_ENTRIES)
     )
     highest_fence: int = 0
-    orders: list = attrs.field(factory=list)
+    commands: list = attrs.field(factory=list)
     role: str = "mixed"
     models: dict = attrs.field(factory=dict)
     running: bool = False
@@ -132,7 +131,7 @@
     # -- sequences -----------------------------------------------------
 
     def submit(self, request_id, prompt, max_tokens, priority, topic):
-        """Start or rejoin the sequence *request_id*; returns it."""
+        """Start the sequence *request_id*, or find the existing one; returns it."""
         seq = self.by_id.get(request_id)
         if seq is None:
             seq = Sequence(
@@ -144,15 +143,15 @@
                 arrived=self.clock.now(),
             )
             self.by_id[request_id] = seq
-        self._kick()
+        self._ensure_stepping()
         return seq
 
     def cancel(self, request_id):
-        """Stop generating *request_id*; its stream ends at once."""
+        """Stop generating *request_id* and end its stream; whether it is known."""
         seq = self.by_id.get(request_id)
         if seq is not None:
             seq.cancelled = True
-            self._wake(seq)
+            self._notify_waiters(seq)
         return seq is not None
 
     def export_kv(self, request_id):
@@ -163,7 +162,7 @@
         return attrs.asdict(seq, filter=lambda a, v: a.name != "waiters")
 
     def import_kv(self, state):
-        """Continue a sequence exported from another engine."""
+        """Continue a sequence that another engine exported; returns it."""
         seq = self.submit(
             state["request_id"],
             state["prompt"],
@@ -176,35 +175,35 @@
             seq.prefilled = True
         return seq
 
-    # -- orders --------------------------------------------------------
+    # -- commands ------------------------------------------------------
 
-    def order(self, order):
-        """Carry out an order; ``(ok, reason)``.
+    def execute_command(self, command):
+        """Execute an engine command; ``(ok, reason)``.
 
-        An engine that honours fencing refuses an order whose ``fence`` is
+        An engine that honours fencing refuses a command whose ``fence`` is
         below the highest it has seen: a deposed control instance could
-        otherwise undo a newer decision. One that ignores fencing obeys.
+        otherwise undo a newer decision. One that ignores fencing executes it.
         """
-        fence = int(order.get("fence", 0))
+        fence = int(command.get("fence", 0))
         if self.settings.honours_fence and fence < self.highest_fence:
             return False, f"stale fence {fence} < {self.highest_fence}"
         self.highest_fence = max(self.highest_fence, fence)
-        self.orders.append(order)
-        kind = order["kind"]
+        self.commands.append(command)
+        kind = command["kind"]
         if kind == "set_map":
-            self.staged = (int(order["version"]), list(order["placement"]))
-            self._kick()
+            self.staged = (int(command["version"]), list(command["placement"]))
+            self._ensure_stepping()
         elif kind == "set_role":
-            self.role = order["role"]
+            self.role = command["role"]
         elif kind in ("load_model", "load_adapter", "load_version"):
-            self.models[kind] = order["name"]
+            self.models[kind] = command["name"]
         else:
             return False, f"unknown order {kind}"
         return True, "ok"
 
     # -- stepping ------------------------------------------------------
 
-    def _kick(self):
+    def _ensure_stepping(self):
         if not self.running:
             self.running = True
             self.clock.call_later(0, self._step)
@@ -215,9 +214,9 @@
         return live[: self.settings.max_batch]
 
     def _step(self):
-        # A staged map takes effect here, between steps, for every rank at
-        # once: a rank switching mid-step would compute with another map
-        # than its peers, which shows as two versions in one step's records.
+        # A staged map takes effect between steps, for all ranks at once. A rank
+        # that switched within a step would use another map than its peers, which
+        # appears as two versions in the records of one step.
         if self.staged is not None:
             self.map_version, self.placement = self.staged
             self.staged = None
@@ -236,15 +235,13 @@
             per_rank[self.placement[expert]] += 1
             per_expert[expert] += 1
             seq.tokens.append(token_of(seq.prompt, index))
-        rank_ms = [
-            BASE_STEP_MS + (n * TOKEN_COST_US + prefill_us) / 1000 for n in per_rank
-        ]
+        rank_ms = [BASE_STEP_MS + (n * TOKEN_US + prefill_us) / 1000 for n in per_rank]
         self.step += 1
         for rank, ms in enumerate(rank_ms):
             self.step_log.append((self.step, rank, self.map_version, ms))
         self.load_history.append((self.clock.now(), len(batch), per_rank, per_expert))
         for seq in batch:
-            self._wake(seq)
+            self._notify_waiters(seq)
         self.clock.call_later(int(max(rank_ms)), self._step)
 
     def _prefill(self, seq):
@@ -262,19 +259,19 @@
 
     def _event(self, kind, prefix):
         self.event_seq += 1
-        # The real engines lose some events: every event_gap_every-th one is
-        # dropped, so consumers must treat the stream as a hint with gaps.
+        # Real engines lose some events, so consumers must treat the stream as an
+        # incomplete hint. Here every event_gap_every-th event is dropped.
         if self.event_seq % self.settings.event_gap_every == 0:
             return
         self.events.append((self.clock.now(), self.event_seq, kind, prefix))
 
-    def _wake(self, seq):
+    def _notify_waiters(self, seq):
         waiters, seq.waiters = seq.waiters, []
         for waiter in waiters:
             waiter.callback(seq)
 
-    def wait(self, seq):
-        """A Deferred fired at the next change of *seq*."""
+    def wait_for_change(self, seq):
+        """A Deferred that fires with *seq* at its next change."""
         d = defer.Deferred()
         seq.waiters.append(d)
         return d
@@ -282,13 +279,14 @@
     # -- reports -------------------------------------------------------
 
     def load(self):
-        """Load as it was ``load_lag_ms`` ago, over one second before that.
+        """The load report, ``load_lag_ms`` old.
 
-        ``per_expert`` counts tokens by expert in that window; ``per_rank``
-        is the last step's tokens by rank; ``batch`` its size.
+        ``per_expert`` counts tokens by expert over ``LOAD_WINDOW_MS`` before that
+        time; ``per_rank`` counts the tokens of the last step by rank; ``batch`` is
+        the size of its batch.
         """
         cutoff = self.clock.now() - self.settings.load_lag_ms
-        window = cutoff - WINDOW_MS
+        window = cutoff - LOAD_WINDOW_MS
         report = {"at": None, "batch": 0, "per_rank": [0] * self.settings.ranks}
         per_expert = [0] * self.settings.experts
         for at, batch, per_rank, experts in self.load_history:
@@ -312,7 +310,7 @@
         ]
 
     def step_report(self):
-        """Steps with more than one map version (must be none) and skew."""
+        """Steps with more than one map version (must be none), and rank time skew."""
         versions = collections.defaultdict(set)
         times = collections.defaultdict(list)
         for step, _rank, version, ms in self.step_log:
@@ -339,16 +337,16 @@
     @web.route("/generate", methods=["POST"])
     @defer.inlineCallbacks
     def generate(request):
-        order = body(request)
+        params = body(request)
         seq = engine.submit(
-            order["request_id"],
-            order["prompt"],
-            int(order.get("max_tokens", 16)),
-            int(order.get("priority", 0)),
-            int(order.get("topic", 0)),
+            params["request_id"],
+            params["prompt"],
+            int(params.get("max_tokens", 16)),
+            int(params.get("priority", 0)),
+            int(params.get("topic", 0)),
         )
         request.setHeader("content-type", "application/x-ndjson")
-        sent = int(order.get("resume_from", 0))
+        sent = int(params.get("resume_from", 0))
         while True:
             while sent < len(seq.tokens):
                 line = {"i": sent, "t": seq.tokens[sent]}
@@ -356,7 +354,7 @@
                 sent += 1
             if seq.done:
                 break
-            yield engine.wait(seq)
+            yield engine.wait_for_change(seq)
         end = {"done": True, "cancelled": seq.cancelled}
         return json.dumps(end).encode() + b"\n"
 
@@ -387,7 +385,7 @@
 
     @web.route("/orders", methods=["POST"])
     def orders(request):
-        ok, reason = engine.order(body(request))
+        ok, reason = engine.execute_command(body(request))
         if not ok:
             request.setResponseCode(409)
         return json.dumps({"ok": ok, "reason": reason})
--- a/dunlinpoint/standins/service.py
+++ b/dunlinpoint/standins/service.py
@@ -1,12 +1,12 @@
-"""A plain service stand-in: antenna slots and harbour dues.
+"""An emulator of a plain service: antenna slots and harbour dues.
 
-Non-idempotent calls (``slot_confirm``, ``slot_release``, ``dues_charge``)
-do their deed every time they arrive, as the users' real services do; a
-doubled call shows as two executions with one idempotency key. Idempotent
-calls (``slot_lookup``, ``clearance_check``) only read.
+Non-idempotent calls (``slot_confirm``, ``slot_release``, ``dues_charge``) are
+executed every time they arrive, as in the real services, so a duplicated call appears
+as two executions with one idempotency key. Idempotent calls (``slot_lookup``,
+``clearance_check``) only read.
 
-Every execution is kept in order and, with a record file, appended to it as
-one JSON line, so a test can read what ran after the process is gone.
+Every execution is recorded in order. With a record file, each is also appended to it
+as one JSON line, so that a test can read them after the process has exited.
 
 HTTP: ``POST /call/<operation>`` with an ``Idempotency-Key`` header and a
 JSON body; ``GET /executions``.
@@ -25,7 +25,7 @@
 
 @attrs.define
 class Service:
-    """Executions so far, and where they are recorded."""
+    """Executions so far, slots by name, and the path of the record file."""
 
     record_path: str | None = None
     delay_ms: int = 0
@@ -33,7 +33,7 @@
     slots: dict = attrs.field(factory=dict)
 
     def execute(self, operation, key, payload):
-        """Run one call; returns ``(status, body)``."""
+        """Execute one call; returns its HTTP status and JSON-ready body."""
         if operation not in NON_IDEMPOTENT | IDEMPOTENT:
             return 404, {"error": f"no operation {operation}"}
         entry = {"operation": operation, "key": key, "payload": payload}
--- a/dunlinpoint/standins/weights.py
+++ b/dunlinpoint/standins/weights.py
@@ -1,9 +1,8 @@
-"""A rate-limited weight store stand-in.
+"""An emulator of the rate-limited weight store.
 
-Experts' weights are served at most ``bytes_per_s`` bytes a second, from a
-token bucket; a request over the rate gets 429 and ``Retry-After``. Loading
-experts after a map change is therefore slow, which is what makes a
-rebalance cost something.
+A token bucket limits the experts' weights to ``bytes_per_s`` bytes per second; a
+request over the rate gets 429 and ``Retry-After``. Loading experts after a map change
+is therefore slow, which gives a rebalance its cost.
 
 HTTP: ``GET /weights/<model>/<expert>``; ``GET /stats``.
 """
@@ -20,29 +19,29 @@
 
 @attrs.define
 class Store:
-    """A token bucket of bytes and what was served."""
+    """A token bucket of bytes, and counts of served and refused requests."""
 
     clock: clock.Clock
     bytes_per_s: int
     expert_bytes: int
     tokens: float = 0.0
-    stamp: int = 0
+    refilled_ms: int = 0
     served: int = 0
     refused: int = 0
 
     @classmethod
     def from_config(cls, reactor, bytes_per_s, expert_bytes):
-        """A store whose bucket starts full (one second of rate)."""
+        """A store whose bucket starts full (one second at the rate)."""
         store = cls(clock.Clock(reactor), bytes_per_s, expert_bytes)
         store.tokens = bytes_per_s
-        store.stamp = store.clock.now()
+        store.refilled_ms = store.clock.now()
         return store
 
-    def take(self):
-        """``(ok, retry_after_ms)`` for one expert's weights."""
+    def acquire(self):
+        """Take one expert's bytes from the bucket; ``(ok, retry_after_ms)``."""
         now = self.clock.now()
-        elapsed = now - self.stamp
-        self.stamp = now
+        elapsed = now - self.refilled_ms
+        self.refilled_ms = now
         self.tokens = min(
             self.bytes_per_s, self.tokens + elapsed * self.bytes_per_s / 1000
         )
@@ -61,7 +60,7 @@
 
     @web.route("/weights/<model>/<expert>", methods=["GET"])
     def weights(request, model, expert):
-        ok, retry_after_ms = store.take()
+        ok, retry_after_ms = store.acquire()
         if not ok:
             request.setResponseCode(429)
             request.setHeader("retry-after", str(max(1, retry_after_ms // 1000)))
