--- a/dunlinpoint/lab/deploy.py
+++ b/dunlinpoint/lab/deploy.py
@@ -178,7 +178,7 @@
         deadline = time.monotonic() + READY_TIMEOUT_S
         while not self.settled(self.controls):
             if time.monotonic() > deadline:
-                raise RuntimeError(f"controls do not vote after {READY_TIMEOUT_S} s")
+                raise RuntimeError("controls do not vote within the ready timeout")
 
     def settled(self, controls):
         """Whether each of *controls* votes on changes, according to ``dunlinctl``."""
