--- a/dunlinpoint/soak/checks.py
+++ b/dunlinpoint/soak/checks.py
@@ -49,9 +49,7 @@
         ]
         expected = b"".join(events)
         if request.is_complete and request.body != expected:
-            return [
-                f"{request.request_id}: a stream that ended normally is incomplete or wrong"
-            ]
+            return [f"{request.request_id}: a stream ended normally with wrong content"]
         if not expected.startswith(request.body[: request.body.rfind(b"\n\n") + 2]):
             return [f"{request.request_id}: a stream with missing or foreign events"]
         return []
