--- a/dunlinpoint/soak/signals.py
+++ b/dunlinpoint/soak/signals.py
@@ -18,11 +18,11 @@
     BACKOFF: {"Retry-After": str(BACKOFF_S)},
     DRAINING: {"Server-Leaving": "1"},
 }
-START_RANGE_S = (0.0, 4.0)
-PERIOD_S = 8.0
+START_DELAY_RANGE_S = (0.0, 4.0)
+SIGNAL_DURATION_S = 8.0
 # Requests sent before the entry received the signal may still arrive this long after.
-IN_FLIGHT_S = 0.5
-WINDOW_S = 4.0
+MAX_IN_FLIGHT_S = 0.5
+RATE_WINDOW_S = 4.0
 DRAIN_GRACE_S = 2.5
 # Requests that an entry may still send to a backend during its backoff.
 MAX_REQUESTS_DURING_BACKOFF = 2
@@ -58,8 +58,8 @@
     for kind, backend in zip(
         (RATE_LIMIT, BACKOFF, DRAINING), rng.sample(backends, 3), strict=True
     ):
-        start_s = now_s + rng.uniform(*START_RANGE_S)
-        backend.signal_period = SignalPeriod(kind, start_s, start_s + PERIOD_S)
+        start_s = now_s + rng.uniform(*START_DELAY_RANGE_S)
+        backend.signal_period = SignalPeriod(kind, start_s, start_s + SIGNAL_DURATION_S)
 
 
 def violations(cluster, results):
@@ -106,7 +106,7 @@
 def _check_backoff(server_id, entry, arrivals, is_undisturbed):
     for signalled_s in _signalled_s(arrivals, BACKOFF):
         end_s = signalled_s + BACKOFF_S
-        late = [a for a in arrivals if signalled_s + IN_FLIGHT_S < a.at_s < end_s]
+        late = [a for a in arrivals if signalled_s + MAX_IN_FLIGHT_S < a.at_s < end_s]
         if len(late) > MAX_REQUESTS_DURING_BACKOFF and is_undisturbed(
             signalled_s, end_s
         ):
@@ -135,14 +135,17 @@
     return [
         at_s
         for at_s in signalled_s
-        if at_s > signalled_s[0] + IN_FLIGHT_S and is_undisturbed(signalled_s[0], at_s)
+        if at_s > signalled_s[0] + MAX_IN_FLIGHT_S
+        and is_undisturbed(signalled_s[0], at_s)
     ]
 
 
 def _check_rate_limit(server_id, times_s):
-    allowed = RATE_LIMIT_TOLERANCE * RATE_LIMIT_PER_S * WINDOW_S + RATE_LIMIT_ALLOWANCE
+    allowed = (
+        RATE_LIMIT_TOLERANCE * RATE_LIMIT_PER_S * RATE_WINDOW_S + RATE_LIMIT_ALLOWANCE
+    )
     for first_s in times_s:
-        count = sum(first_s <= at_s < first_s + WINDOW_S for at_s in times_s)
+        count = sum(first_s <= at_s < first_s + RATE_WINDOW_S for at_s in times_s)
         if count > allowed:
             return [f"{server_id} sent a rate limit and got {count} requests in 4 s"]
     return []
