--- a/dunlinpoint/wire/dunlin.thrift
+++ b/dunlinpoint/wire/dunlin.thrift
@@ -1,13 +1,13 @@
-// Messages between dunlinpoint's own processes: entry -> agent, agent and
-// entry -> control, control <-> control. Times are milliseconds, versions and
-// fencing numbers are counters that only grow. Generated Python lives in
-// dunlinpoint/wire/gen and is committed; regenerate with
+// Messages between dunlinpoint's processes: entry -> agent, agent -> agent, agent and
+// entry -> control, control <-> control. Times are in milliseconds; versions and
+// fencing numbers are monotonic counters. The generated Python code is committed in
+// dunlinpoint/wire/gen; regenerate it with
 //   thrift --gen py:twisted -out dunlinpoint/wire/gen dunlinpoint/wire/dunlin.thrift
 
 namespace py dunlin
 
-// A refusal that is certain: the work did not start. retry_after_ms says when
-// the caller may come back.
+// The request was refused and its work has certainly not started. The caller may
+// retry after retry_after_ms.
 exception Refused {
   1: string reason,
   2: i64 retry_after_ms,
@@ -24,8 +24,8 @@
   6: i64 deadline_ms,
 }
 
-// One piece of a streamed answer. offset counts tokens already sent before
-// this piece, so the reader can tell a late or repeated piece from the next.
+// One chunk of a streamed answer. offset is the number of tokens before this chunk,
+// so that the reader can tell a delayed or repeated chunk from the next one.
 struct Chunk {
   1: string request_id,
   2: i32 offset,
@@ -39,13 +39,13 @@
   2: string operation,
   3: string idempotency_key,
   4: string body_json,
-  // The agent that also keeps the key of a call that may not be repeated.
+  // The agent that keeps a second copy of the idempotency key's record.
   5: string backup_host,
   6: i32 backup_port,
 }
 
-// What an agent knows of an idempotency key: "" (nothing), "running", "done"
-// with its answer, or "unknown" for good.
+// An agent's record of an idempotency key. state is "" (no record), "running", "done"
+// (status and body_json hold the answer) or "unknown" (final).
 struct KeyRecord {
   1: string state,
   2: i32 status,
@@ -65,17 +65,17 @@
   Chunk read(1: string request_id, 2: i32 offset, 3: i32 wait_ms) throws (1: Refused refused),
   void cancel(1: string request_id),
   CallResult call(1: CallOrder order) throws (1: Refused refused),
-  // The key's earlier record, or a claim on it for another agent.
+  // Returns the key's existing record; without one, reserves the key for another agent.
   KeyRecord claim(1: string key),
-  // What became of a key claimed for another agent; "" releases it.
+  // Stores the outcome of a key reserved for another agent; state "" releases the key.
   void settle(1: string key, 2: KeyRecord record),
   KeyRecord lookup(1: string key),
 }
 
 // -- agent -> agent, among the ranks of one group ---------------------------
 
-// How one rank of a group stands. Versions and steps are 0 for none; experts
-// (when asked for) is what the rank holds by set.
+// State of one rank of a group. Versions and steps are 0 for none. experts, present
+// when requested, lists the experts that the rank holds, by set.
 struct RankState {
   1: string group,
   2: i64 epoch,
@@ -90,42 +90,42 @@
   11: list<list<i32>> experts,
 }
 
-// Where a rank's agent answers the others.
+// Address at which a rank's agent serves the agents of the other ranks.
 struct Peer {
   1: string host,
   2: i32 port,
 }
 
-// What a rank's agent is asked: to give its engine an order, if there is one, and
-// to say how the rank stands after it.
+// Request to a rank's agent: send the engine the command, if there is one, and report
+// the rank's state afterwards.
 struct Question {
-  // Which reports are wanted, and whether the group's lead asks, not a deputy that
-  // looks.
+  // Which reports are requested. leading is true from the group's leader and false from
+  // its standby leader, which only polls.
   1: bool counts,
   2: bool experts,
   3: bool leading,
-  // The order, compressed against the earlier one that base names (0 for none),
-  // and what it is about; empty for none.
+  // The engine command, empty for none, and its operation, map version and epoch. base
+  // is the earlier command that it is compressed against, 0 for none.
   4: binary order,
   5: i64 base,
   6: string operation,
   7: i64 version,
   8: i64 epoch,
-  // The ranks that are asked the same by this one, and for how long.
+  // The ranks to which the receiver forwards this request, and its timeout for them.
   9: list<Peer> behind,
   10: i32 behind_ms,
 }
 
-// One rank's part: how it stands, and its engine's status for the order (0 for no
-// answer, or no order).
+// One rank's answer: its state, and its engine's HTTP status for the command (0 without
+// an answer or without a command).
 struct RankAnswer {
   1: RankState state,
   2: i32 status,
 }
 
-// The answers of those asked that gave one. counts holds, packed, how often each
-// expert of each set was chosen at them since they were last asked. With
-// needs_whole nobody was asked: the order's base is not known.
+// The answers received from a subgroup of ranks. counts holds, packed, how often each
+// expert of each set was selected at these ranks since the previous request. With
+// needs_whole no rank was asked, as the receiver does not have the command's base.
 struct Gathered {
   1: list<RankAnswer> answers,
   2: binary counts,
@@ -149,20 +149,20 @@
   8: i64 config_version,
   9: i64 incarnation,
   10: string group,
-  // The plain service or model this endpoint serves, requests it runs at once,
-  // a counter that grows with every heartbeat of one incarnation, and whether
-  // it has left for good.
+  // service_name is the plain service or model that this endpoint serves, slots its
+  // number of concurrent requests. sequence grows with every heartbeat of one
+  // incarnation. gone means that the endpoint has left permanently.
   11: string service_name,
   12: i32 slots,
   13: i64 sequence,
   14: bool gone,
-  // Where the engine of a rank answers, host:port.
+  // Address of a rank's engine, host:port.
   15: string engine,
-  // A checksum of the control instances that the sender knows.
+  // Checksum of the list of control instances that the sender knows.
   16: i64 controls_known,
   // The last round that a control instance knows of.
   17: i64 round,
-  // How the group of a rank stands: its epoch, and whether it is broken.
+  // State of a rank's group: its epoch, and whether the group is broken.
   18: i64 epoch,
   19: bool broken,
 }
@@ -185,13 +185,13 @@
   15: string engine,
   16: i64 epoch,
   17: bool broken,
-  // Which start of the endpoint this is about; a later one is larger.
+  // The endpoint's incarnation; a later start has a larger number.
   18: i64 incarnation,
 }
 
-// A control instance that may vote. node_id is drawn anew with an empty disk,
-// so that what is asked of a voter is never answered by its empty successor at
-// the same address.
+// A control instance that may vote. An instance that starts with an empty disk draws a
+// new node_id, so that a request to a voter is never answered by an empty replacement
+// at the same address.
 struct Voter {
   1: string node_id,
   2: string host,
@@ -199,10 +199,9 @@
   4: string zone,
 }
 
-// What one agreement round decided: the configuration document in force and
-// the voters of the next round. version counts documents, round counts
-// decisions. body is the compressed text; absent, it is known to the receiver
-// or not asked for.
+// The decision of one agreement round: the configuration document in force and the
+// voters of the next round. version counts documents, round counts decisions. body is
+// the compressed text; it is absent where the receiver has it or did not request it.
 struct Document {
   1: i64 version,
   2: string change_id,
@@ -211,28 +210,29 @@
   5: list<Voter> voters,
 }
 
-// controls is absent when the sender knows them (by its controls_known).
+// controls is absent when the checksum controls_known shows that the sender of the
+// heartbeat has the current list.
 struct HeartbeatReply {
   1: i64 lease_ms,
   2: Document document,
   3: list<Voter> controls,
 }
 
-// What is known of a request that may end every endpoint that runs it, named by its
-// digest. life is the start of an endpoint that ended while it ran the request. An empty
-// life voids all that was seen before: the request was served, or an operator lifted
-// what was held against it. It was seen age_ms ago.
+// One observation, age_ms old, about a request that may crash every endpoint that runs
+// it; digest identifies the request. life is the incarnation key of an endpoint that
+// ended while it ran the request. An empty life clears all earlier observations: the
+// request was served, or an operator released it.
 struct CrashReport {
   1: binary digest,
   2: string life,
   3: i64 age_ms,
 }
 
-// One control instance's members and document. revision names the member list
-// within one life of the control; unchanged says the asker holds it already
-// and members is empty. settled is false while this instance has accepted a
-// document whose fate it does not know: it then vouches for nothing. document
-// is absent when the asker's version is as new.
+// One control instance's members and document. revision identifies the member list
+// within one run of the control process; with unchanged the asker already has this
+// revision and members is empty. settled is false while this instance has accepted a
+// document without knowing whether it was chosen; its view then confirms nothing.
+// document is absent when the asker's version is as new.
 struct View {
   1: list<Member> members,
   2: Document document,
@@ -243,18 +243,17 @@
   7: i64 lease_ms,
   8: string zone,
   9: string node_id,
-  // The follower's place, 0 up, among so many entries of its zone that follow.
+  // The follower's index, from 0, and the number of following entries in its zone.
   10: i32 place,
   11: i32 places,
-  // Reports that the follower, which knows those up to an earlier reports_revision,
-  // has not been told.
+  // Reports newer than the reports_revision that the follower sent as reports_known.
   12: list<CrashReport> reports,
   13: i64 reports_revision,
-  // With partial, members are those that changed since the follower's revision, and
-  // dropped names those that are no members any more; all others are as they were.
+  // With partial, members holds only those that changed since the follower's revision,
+  // and dropped lists the ids of those removed; all other members are unchanged.
   14: bool partial,
   15: list<string> dropped,
-  // The follower's place, 0 up, among so many entries of all zones that follow.
+  // The follower's index, from 0, and the number of following entries in all zones.
   16: i32 entry,
   17: i32 entries,
 }
@@ -267,7 +266,7 @@
 
 // -- control <-> control: one agreement round per decision ------------------
 
-// committed comes without its text where the asker knows the round.
+// committed has no body where the asker knows its round.
 struct Promise {
   1: bool ok,
   2: i64 promised,
@@ -278,24 +277,24 @@
 
 service Control {
   HeartbeatReply heartbeat(1: Heartbeat beat) throws (1: Refused refused),
-  // Answers at once when the asker's revision or round is old, and otherwise
-  // after a change or wait_ms, whichever comes first. Without bodies a newer
-  // document comes without its text.
-  // follower names an entry that wants to know its place among the entries.
-  // reports_known is the last reports_revision that it was shown, absent where it wants
-  // no reports.
+  // Answers immediately when the asker's revision or round is outdated, otherwise after
+  // a change or after wait_ms, whichever comes first. Without bodies, a newer document
+  // is returned without its body.
+  // follower is the id of an entry that requests its index among the entries.
+  // reports_known is the last reports_revision that it received; absent, no reports are
+  // returned.
   View view(1: string zone, 2: i64 revision, 3: i64 round, 4: i32 wait_ms, 5: bool bodies, 6: string follower, 7: i64 reports_known, 8: bool changes_only),
-  // An entry tells what it saw of requests that endpoints ended under.
+  // Publishes an entry's observations of requests that endpoints crashed under.
   void report(1: list<CrashReport> reports),
   ApplyResult apply(1: i64 expected_version, 2: string change_id, 3: string body_json) throws (1: Refused refused),
-  // node_id names the voter that is asked; another at its address refuses.
+  // node_id identifies the voter addressed; any other instance at its address refuses.
   Promise prepare(1: i64 round, 2: i64 ballot, 3: string node_id),
   bool accept(1: i64 round, 2: i64 ballot, 3: Document document, 4: string node_id),
-  // The document accepted for its round under ballot was chosen. It comes
-  // without its body: whoever did not accept it catches up.
+  // Announces that the document accepted for its round under ballot was chosen. It has
+  // no body: an instance that did not accept it fetches it when it catches up.
   void learn(1: Document document, 2: i64 ballot),
-  // The acceptor's state as it stands, promising nothing; the committed
-  // document's body only if it is newer than known_round. An empty node_id
-  // asks whoever is there.
+  // Returns the acceptor's current state without making a promise; the committed
+  // document has a body only if it is newer than known_round. An empty node_id
+  // addresses whichever instance is at the address.
   Promise inspect(1: i64 known_round, 2: string node_id),
 }
