--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,10 +1,10 @@
-"""Slopes for docs/CAPACITY.md, measured on small stand-ins on one machine.
+"""Control cost per endpoint for docs/CAPACITY.md, with simulated endpoints.
 
-Starts one real control process and, in this process, K stand-in endpoints
-that heartbeat it every 300 ms over their own TCP connections, for K in
-``--sizes``. Reads the control's CPU time and resident memory from /proc
-and the bytes each heartbeat and reply take on the wire, and prints one
-JSON line per size. Bounded: ``--seconds`` per size, at most 400 endpoints.
+Starts one real control process. For each number K in ``--sizes``, K simulated
+endpoints in this process send it a heartbeat every 300 ms, each over its own TCP
+connection. Reads the control's CPU time and resident memory from /proc and the
+encoded sizes of a heartbeat and its reply, and prints one JSON line per size. Takes
+about ``--seconds`` per size; sizes above 400 endpoints are reduced to 400.
 
     .venv/bin/python -m bench.capacity --sizes 50,100,200 --seconds 5
 """
@@ -27,30 +27,33 @@
 from dunlinpoint.wire import rpc
 from dunlinpoint.wire.gen.dunlin import Control, ttypes
 
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 MAX_ENDPOINTS = 400
 
 
 def wire_bytes(message):
-    """Bytes of *message* in thrift's binary protocol."""
+    """Size of *message* in thrift's binary protocol, in bytes."""
     buffer = TTransport.TMemoryBuffer()
     message.write(TBinaryProtocol.TBinaryProtocol(buffer))
     return len(buffer.getvalue())
 
 
 def cpu_s(pid):
+    """User and system CPU time of process *pid* so far, in seconds."""
     with open(f"/proc/{pid}/stat") as stat:
         fields = stat.read().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def rss_mb(pid):
+    """Resident memory of process *pid*, in MiB."""
     with open(f"/proc/{pid}/statm") as statm:
-        return int(statm.read().split()[1]) * PAGE / 2**20
+        return int(statm.read().split()[1]) * PAGE_BYTES / 2**20
 
 
-def beat(i, version):
+def heartbeat(i, version):
+    """The heartbeat of endpoint number *i*, which has document *version*."""
     return ttypes.Heartbeat(
         endpoint_id=f"endpoint-{i:05d}",
         zone=f"z{i % 3}",
@@ -67,45 +70,45 @@
 
 @defer.inlineCallbacks
 def measure(reactor, port, pid, size, seconds):
-    """Heartbeats of *size* endpoints for *seconds*; one result dict."""
+    """Send the heartbeats of *size* endpoints for *seconds*; returns a result dict."""
     links = [
         rpc.Link(reactor, "127.0.0.1", port, Control.Client, 2000) for _ in range(size)
     ]
     replies = []
-    known = [0] * size
+    known_versions = [0] * size
 
-    def took(reply, i):
+    def on_reply(reply, i):
         replies.append(reply)
         if reply.document is not None:
-            known[i] = max(known[i], reply.document.version)
+            known_versions[i] = max(known_versions[i], reply.document.version)
 
     def send_all():
         for i, link in enumerate(links):
-            d = link.call("heartbeat", beat(i, known[i]))
-            d.addCallback(took, i)
+            d = link.call("heartbeat", heartbeat(i, known_versions[i]))
+            d.addCallback(on_reply, i)
             d.addErrback(lambda failure: None)
 
     send_all()
     yield task.deferLater(reactor, 1.0, lambda: None)
     replies.clear()
-    began_cpu, began = cpu_s(pid), time.monotonic()
+    start_cpu_s, start_s = cpu_s(pid), time.monotonic()
     loop = task.LoopingCall(send_all)
     loop.clock = reactor
     loop.start(agent_server.HEARTBEAT_MS / 1000)
     yield task.deferLater(reactor, seconds, lambda: None)
     loop.stop()
-    elapsed = time.monotonic() - began
-    used = cpu_s(pid) - began_cpu
+    elapsed_s = time.monotonic() - start_s
+    used_s = cpu_s(pid) - start_cpu_s
     for link in links:
         link.close()
     reply_bytes = wire_bytes(replies[-1]) if replies else 0
     return {
         "endpoints": size,
-        "heartbeats_per_s": round(len(replies) / elapsed, 1),
-        "control_cpu_core_share": round(used / elapsed, 4),
-        "cpu_us_per_heartbeat": round(used / max(1, len(replies)) * 1e6, 1),
+        "heartbeats_per_s": round(len(replies) / elapsed_s, 1),
+        "control_cpu_core_share": round(used_s / elapsed_s, 4),
+        "cpu_us_per_heartbeat": round(used_s / max(1, len(replies)) * 1e6, 1),
         "control_rss_mb": round(rss_mb(pid), 1),
-        "heartbeat_bytes": wire_bytes(beat(1, 0)),
+        "heartbeat_bytes": wire_bytes(heartbeat(1, 0)),
         "reply_bytes": reply_bytes,
     }
 
--- a/bench/document.py
+++ b/bench/document.py
@@ -1,8 +1,8 @@
-"""What a document costs as it grows: bytes on the wire and time to take it.
+"""Cost of a configuration document by its size: bytes on the wire and CPU time.
 
-For each number of workspaces (two keys each, one route for every ten) it
-prints the text's and the packed size in bytes, and the processor time in ms
-to pack, to unpack and check, and to build an entry's table.
+For each number of workspaces (two keys each, one route per ten workspaces) it
+prints the sizes of the text and of the packed document in bytes, and the CPU time
+in ms to pack it, to unpack and validate it, and to build an entry's routing table.
 
     .venv/bin/python -m bench.document [--sizes 10,100,1000,4200]
 """
@@ -16,16 +16,19 @@
 from dunlinpoint.config import packed
 from dunlinpoint.forward import routes
 
-ROUTE_EVERY = 10
+WORKSPACES_PER_ROUTE = 10
 
 
 def key(number):
-    """A key that compresses as badly as a real one."""
+    """API key number *number*, of the same entropy as a real one.
+
+    A regular key would compress better, and the packed size would be too small.
+    """
     return hashlib.sha256(str(number).encode()).hexdigest()[:20]
 
 
-def grown(size):
-    """A document of *size* workspaces."""
+def build_document(size):
+    """A document with *size* workspaces."""
     service = config.Service(name="planner")
     return config.Document(
         format=config.FORMAT,
@@ -44,26 +47,26 @@
                 timeout_ms=8000,
                 split=[config.Share(service="planner")],
             )
-            for i in range(0, size, ROUTE_EVERY)
+            for i in range(0, size, WORKSPACES_PER_ROUTE)
         ],
     )
 
 
-def timed(func, *args):
-    """``(result, ms of processor time)`` of one call."""
-    began = time.process_time()
+def with_cpu_ms(func, *args):
+    """Call *func*; returns ``(result, CPU time in ms)``."""
+    start_s = time.process_time()
     result = func(*args)
-    return result, round((time.process_time() - began) * 1000, 2)
+    return result, round((time.process_time() - start_s) * 1000, 2)
 
 
 def main(argv=None):
     parser = argparse.ArgumentParser(description="cost of a document by its size")
     parser.add_argument("--sizes", default="10,100,1000,4200")
     for size in map(int, parser.parse_args(argv).sizes.split(",")):
-        text = config.dump(grown(size))
-        data, pack_ms = timed(packed.pack, text)
-        doc, parse_ms = timed(lambda data=data: config.parse(packed.unpack(data)))
-        _, table_ms = timed(routes.Table.from_document, doc, 1)
+        text = config.dump(build_document(size))
+        data, pack_ms = with_cpu_ms(packed.pack, text)
+        doc, parse_ms = with_cpu_ms(lambda data=data: config.parse(packed.unpack(data)))
+        _, table_ms = with_cpu_ms(routes.Table.from_document, doc, 1)
         line = {"workspaces": size, "text_bytes": len(text), "packed_bytes": len(data)}
         line.update(pack_ms=pack_ms, parse_ms=parse_ms, table_ms=table_ms)
         print(json.dumps(line))
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,18 +1,19 @@
 """Expert maps across ranks against naive baselines, with regression bounds.
 
-A seeded trace of choices drifts between topics. Each policy sees the faded
-counts that a lead would see and decides once a turn:
+A seeded trace of expert selections drifts between topics. In each planning turn a
+policy receives the decayed counts that a group's leader would see, and decides:
 
-- ``never``: the map that assigns experts in turn;
-- ``scratch``: the heaviest expert first to the least loaded rank, made anew
-  at every turn;
-- ``improve``: :func:`dunlinpoint.experts.placement.improve` at every turn;
-- ``weighed``: the same, only where it saves enough of a pass for what it
-  moves, by the rule of :mod:`dunlinpoint.experts.leader`.
+- ``never``: keep the initial round-robin map;
+- ``scratch``: in every turn a new map, heaviest expert first, to the least loaded
+  rank;
+- ``improve``: :func:`dunlinpoint.experts.placement.improve` in every turn;
+- ``weighed``: the same, but only where the step time saved is enough for the number
+  of experts moved, by the rule of :mod:`dunlinpoint.experts.leader`.
 
-Printed for each: mean step load over what even loads would give (skew),
-experts moved a turn, and planning time in ms a turn. It exits 1 when a ratio
-is above its bound in ``bench/bounds.json`` (times have no bound).
+Prints for each policy the mean ratio of step load to evenly distributed load (skew),
+the experts moved per turn, and the planning time per turn in ms. It exits with
+status 1 when a ratio is above its bound in ``bench/bounds.json`` (times have no
+bound).
 
     .venv/bin/python -m bench.placement [--turns N]
 """
@@ -30,14 +31,18 @@
 from dunlinpoint.experts import benefit, placement
 
 BOUNDS = os.path.join(os.path.dirname(__file__), "bounds.json")
-PASS_MS = 60.0
-SHIFT_EVERY = 8
+STEP_MS = 60.0
+SHIFT_INTERVAL_TURNS = 8
 TOPICS = 9
 
 
 @attrs.frozen
 class Size:
-    """A group to plan for."""
+    """The dimensions of a group to plan for.
+
+    *places* and *spare* are those of
+    :class:`dunlinpoint.experts.placement.RankCapacity`.
+    """
 
     name: str
     ranks: int
@@ -55,7 +60,7 @@
 
 
 def trace(size, turns, seed=7):
-    """Faded counts by set and expert for each turn."""
+    """Yield the decayed counts, by set and expert, of each turn."""
     rng = random.Random(seed)
     topics = [
         [
@@ -66,7 +71,7 @@
     ]
     weights = [1.0] * TOPICS
     for turn in range(turns):
-        if turn % SHIFT_EVERY == 0:
+        if turn % SHIFT_INTERVAL_TURNS == 0:
             weights = [rng.random() ** 4 for _ in range(TOPICS)]
         yield [
             [
@@ -82,22 +87,22 @@
 
 
 def scratch(size, mapping, counts):
-    """Heaviest expert first to the least loaded rank with room."""
-    made = []
-    for chosen in counts:
+    """Assign the heaviest expert first, to the least loaded rank with a free place."""
+    new_mapping = []
+    for set_counts in counts:
         held, load = [[] for _ in range(size.ranks)], [0.0] * size.ranks
-        for expert in sorted(range(size.experts), key=lambda e: -chosen[e]):
-            room = [r for r in range(size.ranks) if len(held[r]) < size.places]
-            rank = min(room, key=load.__getitem__)
+        for expert in sorted(range(size.experts), key=lambda e: -set_counts[e]):
+            free_ranks = [r for r in range(size.ranks) if len(held[r]) < size.places]
+            rank = min(free_ranks, key=load.__getitem__)
             held[rank].append(expert)
-            load[rank] += chosen[expert]
-        made.append(held)
-    return made
+            load[rank] += set_counts[expert]
+        new_mapping.append(held)
+    return new_mapping
 
 
 def improve(size, mapping, counts):
-    room = placement.RankCapacity(size.places, size.spare, size.spare * size.sets)
-    return placement.improve(mapping, counts, room)
+    capacity = placement.RankCapacity(size.places, size.spare, size.spare * size.sets)
+    return placement.improve(mapping, counts, capacity)
 
 
 def weighed(size, mapping, counts):
@@ -105,39 +110,39 @@
     proposed = improve(size, mapping, counts)
     before = placement.step_load(mapping, counts)
     after = placement.step_load(proposed, counts)
-    saved_ms = benefit.saved_ms(PASS_MS, before, after)
+    saved_ms = benefit.saved_ms(STEP_MS, before, after)
     moved = placement.moved(mapping, proposed)
-    pays = saved_ms >= benefit.min_saved_ms(shape, moved, size.ranks)
-    return proposed if pays else mapping
+    is_worthwhile = saved_ms >= benefit.min_saved_ms(shape, moved, size.ranks)
+    return proposed if is_worthwhile else mapping
 
 
 def run(size, policy, turns):
-    """Skew, moves and planning time of *policy*, averaged over the turns."""
+    """Mean skew, experts moved and planning time of *policy* per turn."""
     mapping = placement.round_robin(size.sets, size.experts, size.ranks)
     skew = moved = 0
-    spent = 0.0
+    planning_s = 0.0
     for counts in trace(size, turns):
         even = placement.even_load(counts, size.ranks)
         skew += placement.step_load(mapping, counts) / even
-        began = time.process_time()
+        start_s = time.process_time()
         proposed = policy(size, mapping, counts)
-        spent += time.process_time() - began
+        planning_s += time.process_time() - start_s
         moved += placement.moved(mapping, proposed)
         mapping = proposed
     return {
         "skew": round(skew / turns, 3),
         "moved": round(moved / turns, 2),
-        "plan_ms": round(spent * 1000 / turns, 2),
+        "plan_ms": round(planning_s * 1000 / turns, 2),
     }
 
 
 def ratios(results):
-    """What is bounded: skew against never, moves against scratch and improve."""
-    chosen = results["weighed"]
+    """The bounded ratios of ``weighed`` to the baselines, by name."""
+    result = results["weighed"]
     return {
-        "skew_vs_never": chosen["skew"] / results["never"]["skew"],
-        "moved_vs_scratch": chosen["moved"] / results["scratch"]["moved"],
-        "moved_vs_improve": chosen["moved"] / results["improve"]["moved"],
+        "skew_vs_never": result["skew"] / results["never"]["skew"],
+        "moved_vs_scratch": result["moved"] / results["scratch"]["moved"],
+        "moved_vs_improve": result["moved"] / results["improve"]["moved"],
     }
 
 
--- a/bench/rebalance.py
+++ b/bench/rebalance.py
@@ -1,19 +1,19 @@
 """Rebalancing decisions against naive baselines, with regression bounds.
 
-Replays a drifting expert popularity for each user's profile through three
-policies with the same lag (decisions see load two reports old, as the
-engines report it late):
+Replays a trace of drifting expert load for each user's profile through three
+policies. All decide on loads that are two reports old, like the loads that
+engines report:
 
-- ``never``: keep the first map;
-- ``every``: switch to the packed map at every report that changes it;
+- ``never``: keep the initial map;
+- ``every``: switch to the newly planned map at every report that changes it;
 - ``weighed``: :func:`dunlinpoint.agent.rebalance.decide`.
 
-It prints, per profile and policy, mean and p99 skew (tokens a second
-between busiest and idlest rank), rebalances, experts moved, and the
-weighted cost ``w * skew_ms + (1 - w) * move_ms`` a second; then the ratio
-of ``weighed`` to each baseline. It exits 1 when a ratio is above its
-bound in ``bench/bounds.json``. This is the decision logic alone, on a
-synthetic trace; the engines' own step-time skew is in the lab's summary.
+Prints, per profile and policy, mean and p99 skew (difference between the most and
+the least loaded rank, in tokens per second), rebalances, experts moved, and the
+weighted cost ``w * skew_ms + (1 - w) * move_ms`` per second; then the ratio of
+``weighed`` to each baseline. It exits with status 1 when a ratio is above its bound
+in ``bench/bounds.json``. Only the decision logic runs here, on a synthetic trace;
+``dunlinpoint.lab.load`` reports the step-time skew of engines.
 
     .venv/bin/python -m bench.rebalance
 """
@@ -28,19 +28,19 @@
 EXPERTS = 16
 RANKS = 4
 REPORTS = 600
-LAG = 2
+LAG_REPORTS = 2
 BOUNDS = os.path.join(os.path.dirname(__file__), "bounds.json")
 
 PROFILES = {
-    # Pass windows: the hot topic moves every 100 s, skew weighs most.
+    # Satellite pass windows: the hot topic changes every 100 s; skew weighs most.
     "hoshizora": {"skew_weight": 0.8, "shift_every": 100, "hot": 600, "base": 40},
-    # Morning rush: one sharp shift, heavier, rebalance cost weighs most.
+    # Morning peak: a single abrupt shift at higher load; rebalance cost weighs most.
     "port-dues": {"skew_weight": 0.3, "shift_every": 300, "hot": 1500, "base": 30},
 }
 
 
 def trace(profile, seed=11):
-    """Tokens by expert for each one-second report."""
+    """The tokens by expert of each report; one report covers one second."""
     rng = random.Random(seed)
     reports = []
     for t in range(REPORTS):
@@ -66,14 +66,14 @@
 def run(policy, reports, weight):
     block = EXPERTS // RANKS
     placement = [e // block for e in range(EXPERTS)]
-    skews, moves, switches = [], 0, 0
+    skews, moves, rebalances = [], 0, 0
     for t, loads in enumerate(reports):
         skews.append(rebalance.skew(loads, placement, RANKS))
-        if t >= LAG:
-            proposed = policy(reports[t - LAG], placement, weight)
+        if t >= LAG_REPORTS:
+            proposed = policy(reports[t - LAG_REPORTS], placement, weight)
             if proposed is not None:
                 moves += rebalance.moved(placement, proposed)
-                switches += 1
+                rebalances += 1
                 placement = proposed
     skews.sort()
     skew_ms = sum(skews) / len(skews) * rebalance.TOKEN_COST_US / 1000
@@ -81,7 +81,7 @@
     return {
         "skew_mean": round(sum(skews) / len(skews), 1),
         "skew_p99": skews[int(len(skews) * 0.99)],
-        "rebalances": switches,
+        "rebalances": rebalances,
         "experts_moved": moves,
         "cost": round(weight * skew_ms + (1 - weight) * move_ms, 3),
     }
@@ -90,7 +90,7 @@
 def main():
     with open(BOUNDS) as source:
         bounds = json.load(source)
-    failed = []
+    regressed = []
     for name, profile in PROFILES.items():
         reports = trace(profile)
         weight = profile["skew_weight"]
@@ -106,9 +106,9 @@
             line = {"profile": name, "weighed_vs": baseline, "ratio": round(ratio, 3)}
             print(json.dumps(line | {"bound": bound}))
             if ratio > bound:
-                failed.append(line)
-    if failed:
-        print(json.dumps({"regressed": failed}))
+                regressed.append(line)
+    if regressed:
+        print(json.dumps({"regressed": regressed}))
         sys.exit(1)
 
 
--- a/bench/routing_cost.py
+++ b/bench/routing_cost.py
@@ -1,8 +1,8 @@
-"""CPU and memory per routed request at the entry and agent, for CAPACITY.md.
+"""CPU and memory per routed request at entry and agent, for docs/CAPACITY.md.
 
-Starts the lab's default profile, sends N model requests (8 tokens each)
-and N/4 slot confirmations, and prints the CPU seconds the entry and agent
-processes spent per request, and their resident memory. Bounded by N.
+Starts the lab's default profile, sends ``--requests`` model requests (8 tokens
+each) and a quarter as many slot confirmations, and prints the CPU time per request
+that the entry and agent processes used, and their resident memory.
 
     .venv/bin/python -m bench.routing_cost --requests 400
 """
@@ -34,12 +34,12 @@
             ]
 
         roles = {"entry": pids("entry-"), "agent": pids("agent-engine")}
-        before = {r: sum(capacity.cpu_s(p) for p in ps) for r, ps in roles.items()}
-        began = time.monotonic()
+        start_cpu_s = {r: sum(capacity.cpu_s(p) for p in ps) for r, ps in roles.items()}
+        start_s = time.monotonic()
         own, _, calls = load.drive(deployment, profile, args.requests)
-        elapsed = time.monotonic() - began
+        elapsed_s = time.monotonic() - start_s
         for role, role_pids in roles.items():
-            used = sum(capacity.cpu_s(p) for p in role_pids) - before[role]
+            used_s = sum(capacity.cpu_s(p) for p in role_pids) - start_cpu_s[role]
             print(
                 json.dumps(
                     {
@@ -47,8 +47,8 @@
                         "processes": len(role_pids),
                         "requests": args.requests,
                         "answered_own_whole": own,
-                        "requests_per_s": round(args.requests / elapsed, 1),
-                        "cpu_ms_per_request": round(used / args.requests * 1000, 2),
+                        "requests_per_s": round(args.requests / elapsed_s, 1),
+                        "cpu_ms_per_request": round(used_s / args.requests * 1000, 2),
                         "rss_mb_each": round(
                             max(capacity.rss_mb(p) for p in role_pids), 1
                         ),
--- a/dunlinpoint/wire/dunlin.thrift
+++ b/dunlinpoint/wire/dunlin.thrift
@@ -39,7 +39,7 @@
   2: string operation,
   3: string idempotency_key,
   4: string body_json,
-  // The agent that keeps a second copy of the idempotency key's record.
+  // The agent that also stores the idempotency key of a non-idempotent call.
   5: string backup_host,
   6: i32 backup_port,
 }
@@ -99,8 +99,8 @@
 // Request to a rank's agent: send the engine the command, if there is one, and report
 // the rank's state afterwards.
 struct Question {
-  // Which reports are requested. leading is true from the group's leader and false from
-  // its standby leader, which only polls.
+  // Which reports are requested, and whether the sender is the group's leader rather
+  // than its standby leader.
   1: bool counts,
   2: bool experts,
   3: bool leading,
