--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -1,4 +1,4 @@
-"""A local deployment of real processes for each integration test module."""
+"""Fixtures that start real processes, once per integration test module."""
 
 import pytest
 
@@ -15,12 +15,12 @@
 
 @pytest.fixture(scope="module")
 def deployment(tmp_path_factory):
-    """A started deployment of the SMALL profile."""
+    """A running deployment of the ``SMALL`` profile."""
     with deployments.running(SMALL, tmp_path_factory.mktemp("deployment")) as found:
         yield found
 
 
 @pytest.fixture(scope="module")
 def platform(tmp_path_factory):
-    """An entry and a control on the platform's calls, with two servers."""
+    """An entry and a control on the platform's HTTP interface, with two servers."""
     yield from platform_lab.run(tmp_path_factory.mktemp("platform"))
--- a/tests/integration/deployments.py
+++ b/tests/integration/deployments.py
@@ -1,4 +1,4 @@
-"""Starting a deployment of real processes for a test module."""
+"""Starts a deployment of real processes for a test module."""
 
 import contextlib
 import signal
@@ -7,18 +7,18 @@
 from tests.integration.waits import wait_for
 
 
-def members_seen(port):
-    """How many members the entry at *port* knows."""
+def member_count(port):
+    """The number of members that the entry at *port* knows."""
     return client.get(port, "/v1/status")["members"]
 
 
 @contextlib.contextmanager
 def running(profile, folder):
-    """A started deployment of *profile*; every entry sees all agents.
+    """A running deployment of *profile* in which every entry knows all agents.
 
-    Whatever was started is ended, also where the start itself fails: 18 processes
-    were left on a machine that had run out of memory. All are let go on first, as
-    one that a test left paused would never see its signal to stop.
+    All processes are stopped at the end, also when the start fails: a failed start on
+    a machine without free memory left 18 processes behind. They are sent SIGCONT
+    first, as a process that a test left suspended would not handle its SIGTERM.
     """
     deployment = deploy.Deployment.from_profile(profile, str(folder))
     agents = sum(name.startswith("agent-") for name in deployment.by_name)
@@ -26,7 +26,7 @@
         deployment.start()
         for ports in deployment.entries_by_zone.values():
             for port in ports:
-                wait_for(lambda port=port: members_seen(port) >= agents)
+                wait_for(lambda port=port: member_count(port) >= agents)
         yield deployment
     finally:
         for process in deployment.by_name.values():
--- a/tests/integration/platform_lab.py
+++ b/tests/integration/platform_lab.py
@@ -1,7 +1,7 @@
-"""Stand-ins for the users' platform, and the real processes that meet them.
+"""A simulated platform, and a real entry and control that run against it.
 
-A small server of ours stands in for the platform's: it announces itself by
-heartbeats and misbehaves by path.
+The servers of the platform are simulated by a small HTTP server. It is announced by
+heartbeats, and the last segment of the request path selects the fault it shows.
 """
 
 import http.client
@@ -21,9 +21,9 @@
 HOST = "plan.example"
 ATTEMPT = "X-Dunlinpoint-Attempt-Id"
 SIGNATURE = "X-Dunlinpoint-Server-Signature"
-EVENTS = 6
-# More than what a connection's buffers hold on both sides.
-BIG_BYTES = 12 * 1024 * 1024
+EVENT_COUNT = 6
+# More than the send and receive buffers of a connection hold together.
+LARGE_BODY_BYTES = 12 * 1024 * 1024
 
 
 def event(number):
@@ -31,10 +31,12 @@
 
 
 class Server(http.server.BaseHTTPRequestHandler):
-    """One server of the platform; ``runs`` notes (server id, request id).
+    """Request handler of one simulated server.
 
-    ``says`` holds headers that all its answers bear, ``arrivals`` when (s) it got a
-    request, ``rest`` the time (s) that it asks for with each refusal, if it refuses.
+    Its state is kept in attributes of the HTTP server: ``runs`` lists the executed
+    requests as (server id, request id), ``arrivals`` the monotonic times (s) of all
+    requests, ``extra_headers`` the headers added to every answer. While ``retry_after``
+    is set, every request is refused with it as Retry-After (s).
     """
 
     protocol_version = "HTTP/1.1"
@@ -44,7 +46,7 @@
 
     def begin(self, status):
         self.send_response(status)
-        for name, value in self.server.says.items():
+        for name, value in self.server.extra_headers.items():
             self.send_header(name, value)
 
     def answer(self, status, body, **headers):
@@ -63,10 +65,10 @@
         self.rfile.read(int(self.headers.get("Content-Length", 0)))
         self.server.arrivals.append(time.monotonic())
         kind = self.path.rsplit("/", 1)[1]
-        if self.server.rest is not None:
+        if self.server.retry_after is not None:
             refusal = {
                 "X_Dunlinpoint_Not_Executed": "1",
-                "Retry_After": self.server.rest,
+                "Retry_After": self.server.retry_after,
             }
             self.answer(503, b"", signed=False, **refusal)
             return
@@ -82,20 +84,24 @@
             last = int(self.headers.get("Last-Event-Id", 0))
             self.stream(last, always=kind == "broken")
         elif kind == "big":
-            self.answer(200, b"x" * BIG_BYTES)
+            self.answer(200, b"x" * LARGE_BODY_BYTES)
         else:
             seen = {name.lower(): value for name, value in self.headers.items()}
             self.answer(200, json.dumps(seen).encode())
 
     def stream(self, last, always=False):
-        """Events after *last*; broken off inside the fourth, or on a first run only."""
+        """Send the events after number *last*.
+
+        The connection is closed within the fourth event: for every request with
+        *always*, otherwise only when the stream starts from the beginning.
+        """
         self.begin(200)
         self.send_header(ATTEMPT, self.headers[ATTEMPT])
         self.send_header(SIGNATURE, self.server.id)
         self.send_header("Content-Type", "text/event-stream")
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
-        for number in range(last + 1, EVENTS + 1):
+        for number in range(last + 1, EVENT_COUNT + 1):
             data = event(number)
             if number == 4 and (always or not last):
                 self.chunk(data[:9])
@@ -110,7 +116,7 @@
 
 @attrs.define
 class Platform:
-    """The processes, the servers, and the ports that tests speak to."""
+    """The processes, the simulated servers, and the ports that tests connect to."""
 
     entry: subprocess.Popen
     control: subprocess.Popen
@@ -131,8 +137,8 @@
         headers.setdefault("Authorization", "Bearer key-1")
         return ask(self.entry_port, "POST", prefix + kind, b"{}", headers)
 
-    def ran(self, attempt):
-        return [server for server, ran in self.runs if ran == attempt]
+    def servers_that_ran(self, attempt):
+        return [server for server, ran_attempt in self.runs if ran_attempt == attempt]
 
 
 def ask(port, method, path, body=None, headers=None):
@@ -180,7 +186,7 @@
 
 
 def run(folder):
-    """A generator of one running ``Platform``, its logs under *folder*."""
+    """Yield one running ``Platform`` whose logs are under *folder*."""
     ports = [deploy.free_port() for _ in range(5)]
     entry_port, ready_port, admin_port, inner, metrics_port = ports
     seeds = f"127.0.0.1:{admin_port}"
@@ -204,11 +210,11 @@
         **common,
     )
     runs, servers = [], []
-    beats = threading.Event()
+    stopped = threading.Event()
     for number in range(2):
         server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), Server)
         server.id, server.runs = f"i-{number}", runs
-        server.says, server.arrivals, server.rest = {}, [], None
+        server.extra_headers, server.arrivals, server.retry_after = {}, [], None
         threading.Thread(target=server.serve_forever, daemon=True).start()
         servers.append(server)
     running = Platform(
@@ -224,16 +230,18 @@
     )
     try:
         wait_for(lambda: deploy.listening(admin_port) and deploy.listening(ready_port))
-        threading.Thread(target=beat, args=(running, beats), daemon=True).start()
+        threading.Thread(
+            target=send_heartbeats, args=(running, stopped), daemon=True
+        ).start()
         put = json.dumps(document(3))
         wait_for(lambda: running.admin("POST", "/api/config/replace", put)[0] == 200)
         wait_for(lambda: ask(ready_port, "GET", "/api/readyz")[0] == 200)
-        # An entry that knows one server only has no second one to try.
-        wait_for(lambda: knows_both(running))
+        # An entry that knows only one server cannot retry at a second one.
+        wait_for(lambda: reaches_both_servers(running))
         wait_for(lambda: running.call("plain", "warm")[0] == 200)
         yield running
     finally:
-        beats.set()
+        stopped.set()
         for process in (entry, control):
             process.kill()
             process.wait(10)
@@ -241,16 +249,16 @@
             server.shutdown()
 
 
-def knows_both(running):
-    """Whether a request that fails at one server goes on to the other."""
+def reaches_both_servers(running):
+    """Whether the entry retries a request that fails at one server at the other."""
     running.call("unsigned", "warm-both", prefix="/often/")
-    return len(set(running.ran("warm-both"))) == len(running.servers)
+    return len(set(running.servers_that_ran("warm-both"))) == len(running.servers)
 
 
-def beat(running, ended):
-    """Heartbeats of the servers, as the platform sends them."""
+def send_heartbeats(running, stopped):
+    """Send the servers' heartbeats, in the platform's format, until *stopped*."""
     sequence = 0
-    while not ended.wait(0.3):
+    while not stopped.wait(0.3):
         sequence += 1
         for server in running.servers:
             body = {
--- a/tests/integration/test_at_most_once.py
+++ b/tests/integration/test_at_most_once.py
@@ -11,12 +11,11 @@
 
 
 def test_retry_through_another_zone_does_not_run_twice(deployment):
-    # Symptom: a slot is confirmed twice, booking an antenna for two
-    # customers. Sequence: a caller's slot_confirm goes through an entry in
-    # z1; the answer is lost; the platform's balancer sends the retry, with
-    # the same idempotency key, to an entry in z2. Cause: each entry chose
-    # the key's owner among its own zone's service agents only, so the two
-    # tries met two different key tables.
+    # Guards against a slot confirmed twice, which books an antenna for two customers.
+    # A slot_confirm goes through an entry in z1 and its answer is lost; the platform's
+    # balancer sends the retry with the same idempotency key to an entry in z2. If each
+    # entry chooses the key's owner among its own zone's service agents only, the two
+    # attempts reach different key tables.
     z1 = deployment.entries_by_zone["z1"][0]
     z2 = deployment.entries_by_zone["z2"][0]
     first = client.call(z1, "slot_confirm", "cross-zone-1", {"slot": "oita-3"})
@@ -35,12 +34,11 @@
 
 
 def test_not_run_means_not_run_when_the_service_is_down(deployment):
-    # Symptom: a caller told "not run" finds the slot confirmed anyway, or
-    # a retry after "not run" is refused as a repeat. Sequence: the
-    # service behind the key's owner is down (SIGKILL); the call is tried,
-    # the service comes back, the caller retries with the same key. Cause
-    # guarded against: saying "not run" after the request may have been
-    # written, and keeping a key claimed when it never reached the service.
+    # Guards against two faults: "not_run" for a call whose request may have been
+    # written to the service, so that the slot is confirmed anyway; and a key that stays
+    # reserved although the call never reached the service, so that the retry is refused
+    # as a repeat. The service of the key's owner is killed, a call is attempted, the
+    # service restarts, and the caller retries with the same key.
     from dunlinpoint.routing import owners
 
     key = "down-then-up-1"
@@ -61,7 +59,7 @@
 
 
 def service_agents(deployment, key):
-    """Service agents' ids in the order in which they own *key*."""
+    """Service agents' ids, ordered by precedence as owner of *key*."""
     from dunlinpoint.routing import owners
 
     ids = [n.removeprefix("agent-") for n in deployment.by_name if "agent-service" in n]
@@ -69,10 +67,9 @@
 
 
 def test_retry_after_the_owner_restarted_does_not_run_twice(deployment):
-    # Symptom: a dues charge is billed twice. Sequence: the call runs; the
-    # key's owner agent is killed and starts again; the caller, who lost the
-    # answer, sends the same key. Cause: the key table was in that agent's
-    # memory alone.
+    # Guards against a dues charge billed twice, because the key table was only in the
+    # memory of one agent. The call runs; the key's owner agent is killed and restarts;
+    # the caller lost the answer and retries with the same key.
     key = "owner-restarts-1"
     owner = f"agent-{service_agents(deployment, key)[0]}"
     port = deployment.entries_by_zone["z1"][0]
@@ -84,10 +81,10 @@
     assert len(runs(deployment, key)) == 1
 
 
-def test_retry_while_the_owner_is_gone_does_not_run_twice(deployment):
-    # Symptom as above. Sequence: the owner is killed and stays away until
-    # its lease has run out; the retry goes to the next agent in the key's
-    # order. Cause: the next agent knew nothing of the key.
+def test_retry_while_the_owner_is_unreachable_does_not_run_twice(deployment):
+    # The same failure as above, but the owner stays down until its lease expires and
+    # the retry goes to the next agent in the key's order. That agent had no record of
+    # the key.
     key = "owner-gone-1"
     owner = f"agent-{service_agents(deployment, key)[0]}"
     port = deployment.entries_by_zone["z2"][0]
@@ -100,6 +97,6 @@
 
 
 def answered(port, operation, key):
-    """The answer once it is a final one, or ``None`` while refused."""
+    """The answer if it is final, ``None`` if the call was refused."""
     answer = client.call(port, operation, key, {"vessel": "trawler-9"})
     return answer if answer.status == 200 else None
--- a/tests/integration/test_config.py
+++ b/tests/integration/test_config.py
@@ -1,4 +1,4 @@
-"""An accepted document is in force everywhere within seconds, never reverting."""
+"""An accepted document is in force everywhere within seconds and never reverts."""
 
 import json
 import subprocess
@@ -25,7 +25,7 @@
 
 
 def versions(deployment):
-    """Document version at every entry, control, and agent (as control heard it)."""
+    """Document version of every entry, control, and (by its heartbeats) agent."""
     seen = []
     for ports in deployment.entries_by_zone.values():
         seen += [client.get(port, "/v1/status")["document_version"] for port in ports]
@@ -36,17 +36,17 @@
 
 
 def agent_versions(deployment):
-    """Document version at every agent, as a control heard it."""
+    """Document version of every agent, by its heartbeats to the controls."""
     _, out = ctl(deployment, "members")
     return [json.loads(line)["version"] for line in out.splitlines()]
 
 
 def in_force_s(deployment, version):
-    """When the last control and entry had *version* (time of day), or ``None``.
+    """Unix time (s) at which the last control or entry had *version*, or ``None``.
 
-    By their own log lines: asked by one tool's start for each, the test timed
-    those starts. Beside eight busy processes it saw 7.3 s where the last line
-    came 16 ms after the first.
+    Read from the processes' logs. Polling each process with ``dunlinctl`` measures
+    the start time of the tool: beside eight busy processes that gave 7.3 s, although
+    the last log line came 16 ms after the first.
     """
     times = []
     for name, process in deployment.by_name.items():
@@ -66,7 +66,7 @@
     return max(times)
 
 
-def write(tmp_path, name):
+def write_document(tmp_path, name):
     doc = config.Document(format=1, name=name)
     path = tmp_path / f"{name}.json"
     path.write_text(config.dump(doc))
@@ -76,25 +76,25 @@
 def test_apply_is_in_force_everywhere_and_never_reverts(deployment, tmp_path):
     start = versions(deployment)[0]
     code, out = ctl(
-        deployment, "apply", write(tmp_path, "first"), "--expect", str(start)
+        deployment, "apply", write_document(tmp_path, "first"), "--expect", str(start)
     )
     assert code == 0, out
     version = json.loads(out)["version"]
-    began_s = time.time()
+    start_s = time.time()
     wait_for(lambda: set(agent_versions(deployment)) == {version}, IN_FORCE_BOUND_S)
-    assert time.time() - began_s < IN_FORCE_BOUND_S
+    assert time.time() - start_s < IN_FORCE_BOUND_S
     wait_for(lambda: in_force_s(deployment, version), IN_FORCE_BOUND_S)
-    assert in_force_s(deployment, version) - began_s < IN_FORCE_BOUND_S
+    assert in_force_s(deployment, version) - start_s < IN_FORCE_BOUND_S
     assert set(versions(deployment)) == {version}
 
 
 def test_racing_operators_and_resend(deployment, tmp_path):
-    # Symptom: two operators holding the same version both think they won,
-    # or a resent change lands twice. Sequence: both apply against version
-    # v; the first resends after "losing" its answer. Cause would be a
-    # version check that is not agreed among controls, or no change ids.
+    # Guards against two operators whose changes to the same version are both accepted,
+    # and against a resent change that is applied twice. Both apply against version v,
+    # and the first resends as if its answer had been lost. The faults would come from a
+    # version check that the controls do not agree on, or from missing change ids.
     v = max(versions(deployment))
-    path_a, path_b = write(tmp_path, "alice"), write(tmp_path, "bob")
+    path_a, path_b = write_document(tmp_path, "alice"), write_document(tmp_path, "bob")
     code_a, out_a = ctl(deployment, "apply", path_a, "--expect", str(v))
     code_b, out_b = ctl(deployment, "apply", path_b, "--expect", str(v))
     code_r, out_r = ctl(deployment, "apply", path_a, "--expect", str(v))
--- a/tests/integration/test_control_faults.py
+++ b/tests/integration/test_control_faults.py
@@ -1,4 +1,4 @@
-"""The document under control faults: freezes, restarts, lost disks."""
+"""The document stays consistent when controls freeze, restart or lose their disks."""
 
 import json
 import shutil
@@ -43,8 +43,8 @@
     return json.loads(done.stdout)
 
 
-def shown(deployment):
-    """Version at each control, ``None`` where one does not answer."""
+def control_versions(deployment):
+    """Document version of each control, ``None`` for one that does not answer."""
     done = subprocess.run(
         [sys.executable, "-m", "dunlinpoint.cli.ctl", "show"]
         + ["--controls", controls_flag(deployment)],
@@ -60,57 +60,55 @@
     return [client.get(p, "/v1/status")["document_version"] for p in ports]
 
 
-def current(deployment):
-    return max(v for v in shown(deployment) if v is not None)
+def current_version(deployment):
+    return max(v for v in control_versions(deployment) if v is not None)
 
 
 def test_frozen_control_catches_up_and_nothing_reverts(cluster):
-    # Symptom: after a control instance comes back from a long isolation,
-    # an entry or agent shows an older document. Sequence: control-2 is
-    # frozen (SIGSTOP) without notice; 50 changes are accepted by the other
-    # two; control-2 thaws still holding the old version and answers views
-    # with it. Cause guarded against: taking a control's document without
-    # comparing versions, and controls that never fetch what they missed.
-    start = current(cluster)
+    # Guards against entries and agents that return to an older document after a long
+    # isolation of a control, because they accept its document without comparing
+    # versions, or because the control never fetches the changes it missed. control-2
+    # is suspended (SIGSTOP), the other two accept 50 changes, and control-2 resumes
+    # with the old version and answers views with it.
+    start = current_version(cluster)
     cluster.by_name["control-2"].signal(signal.SIGSTOP)
     result = churn(cluster, 50, start)
     assert result["accepted"] == 50
     seen_during = entry_versions(cluster)
     cluster.by_name["control-2"].signal(signal.SIGCONT)
     target = result["version"]
-    wait_for(lambda: shown(cluster) == [target] * 3, IN_FORCE_BOUND_S)
+    wait_for(lambda: control_versions(cluster) == [target] * 3, IN_FORCE_BOUND_S)
     wait_for(lambda: entry_versions(cluster) == [target] * 2, IN_FORCE_BOUND_S)
     assert min(seen_during) >= start
 
 
 def test_restart_after_hundreds_of_changes(cluster):
-    # Symptom: a control restarted after many changes serves an old
-    # document, or refuses to take part. Sequence: control-1 stops
-    # (SIGTERM); 200 changes go by; it restarts from its data folder.
-    # Cause guarded against: replaying a change log it does not have; here
-    # documents are whole and it learns the newest one.
-    start = current(cluster)
+    # Guards against a control that serves an old document or cannot take part after a
+    # restart, because it would have to replay a change log that it does not have:
+    # documents are transferred whole, and it fetches the newest one. control-1 stops
+    # (SIGTERM), 200 changes are accepted, and it restarts from its data folder.
+    start = current_version(cluster)
     assert cluster.stop("control-1") is not None
     result = churn(cluster, 200, start)
     assert result["accepted"] == 200
     cluster.restart("control-1")
-    wait_for(lambda: shown(cluster) == [result["version"]] * 3, IN_FORCE_BOUND_S)
+    wait_for(
+        lambda: control_versions(cluster) == [result["version"]] * 3, IN_FORCE_BOUND_S
+    )
 
 
 def test_lost_disk_then_second_failure_never_reverts(cluster):
-    # Symptom: the document goes back to an old version after a repair.
-    # Sequence: control-0 loses its disk (data folder deleted, restarted
-    # empty); right after, control-1 is killed; an operator applies a
-    # change written against version 0 at control-0. Cause guarded
-    # against: a repaired acceptor with empty state letting a proposal on
-    # an old version through; the proposer must learn the newest committed
-    # version from the majority it needs (control-0 and control-2).
-    start = current(cluster)
+    # Guards against a document that reverts after a repair, because an acceptor with
+    # empty state accepts a proposal based on an old version. control-0 loses its disk
+    # (data folder deleted, restarted empty); then control-1 is killed; an operator
+    # applies a change based on version 0 at control-0. The proposer must learn the
+    # newest committed version from the majority it needs (control-0 and control-2).
+    start = current_version(cluster)
     cluster.stop("control-0")
     shutil.rmtree(cluster.by_name["control-0"].argv[-1])
     cluster.restart("control-0")
-    # Repaired means that it votes again: until it has seen the others it
-    # votes on nothing, as the model test shows it must not.
+    # Wait until control-0 votes again. It must not vote before it has read the state
+    # of the other controls (see the model test).
     wait_for(lambda: cluster.settled(cluster.controls[:1]))
     cluster.stop("control-1", signal.SIGKILL)
     stale = churn(cluster, 1, 0)
@@ -119,8 +117,9 @@
     fresh = churn(cluster, 1, start)
     assert fresh["accepted"] == 1
     wait_for(
-        lambda: [v for v in shown(cluster) if v] == [start + 1] * 2, IN_FORCE_BOUND_S
+        lambda: [v for v in control_versions(cluster) if v] == [start + 1] * 2,
+        IN_FORCE_BOUND_S,
     )
     assert min(entry_versions(cluster)) >= start
     cluster.restart("control-1")
-    wait_for(lambda: shown(cluster) == [start + 1] * 3, IN_FORCE_BOUND_S)
+    wait_for(lambda: control_versions(cluster) == [start + 1] * 3, IN_FORCE_BOUND_S)
--- a/tests/integration/test_explain.py
+++ b/tests/integration/test_explain.py
@@ -1,4 +1,4 @@
-"""From a failed request's id to its cause, by logs and metrics alone."""
+"""Logs and metrics suffice to find the cause of a failed request from its id."""
 
 import json
 import subprocess
@@ -10,7 +10,7 @@
 from tests.integration.waits import wait_for
 
 FAILURES = [
-    # kind of server, route, status, the lines that must tell the cause
+    # server fault, route, status, outcomes of the attempts, reason in the last line
     pytest.param("full", "/once/", 503, {"not_run"}, "not_run", id="refused"),
     pytest.param("broken", "/stream/", 200, {"broken"}, "broken", id="broken stream"),
     pytest.param("unsigned", "/once/", 502, {"broken"}, "broken", id="unknown"),
@@ -31,7 +31,7 @@
     return [json.loads(line) for line in done.stdout.splitlines()]
 
 
-def counted(platform, name):
+def event_count(platform, name):
     text = ask(platform.metrics_port, "GET", "/metrics")[2].decode()
     line = f'dunlinpoint_events_total{{name="{name}"}} '
     found = [row for row in text.splitlines() if row.startswith(line)]
@@ -45,40 +45,42 @@
     request_id = f"why-{kind}"
     try:
         found = platform.call(kind, request_id, prefix=prefix)[0]
-    except Exception:  # a stream that is cut off is no whole answer
+    except Exception:  # the client raises on a truncated stream
         found = 200
     assert found == status
     lines = wait_for(lambda: explain(platform, request_id))
-    own = [line for line in lines if line.get("request") == request_id]
-    tries = [line for line in own if line["event"] == "try_ended"]
-    assert {line["outcome"] for line in tries} == outcomes
-    assert all(line["endpoint_id"].startswith("i-") for line in tries)
-    last = own[-1]
+    request_lines = [line for line in lines if line.get("request") == request_id]
+    attempts = [line for line in request_lines if line["event"] == "try_ended"]
+    assert {line["outcome"] for line in attempts} == outcomes
+    assert all(line["endpoint_id"].startswith("i-") for line in attempts)
+    last = request_lines[-1]
     assert last["event"] in ("answered_ourselves", "stream_broken")
-    assert last["reason"] == reason and last["tries"] == len(tries)
+    assert last["reason"] == reason and last["tries"] == len(attempts)
     assert {"in_flight", "version", "vouched_ms"} <= set(last) or prefix == "/stream/"
 
 
 def test_refusals_are_counted_under_their_reason(platform):
-    before = counted(platform, "refused.not_run")
+    before = event_count(platform, "refused.not_run")
     platform.call("full", "count-1")
-    assert counted(platform, "refused.not_run") == before + 1
+    assert event_count(platform, "refused.not_run") == before + 1
 
 
-def test_an_id_that_no_line_bears_is_said_so(platform):
+def test_an_unknown_request_id_has_no_lines(platform):
     assert explain(platform, "nobody") == []
 
 
-def test_a_refusal_for_want_of_turns_is_explained_by_the_limits(platform):
+def test_a_refusal_is_explained_by_the_endpoints_rate_limits(platform):
     for server in platform.servers:
-        server.says["Server-Limit"] = "0.5"
+        server.extra_headers["Server-Limit"] = "0.5"
     try:
         for number in range(12):
             platform.call("plain", f"limit-{number}")
         lines = wait_for(lambda: explain(platform, "limit-11"))
     finally:
         for server in platform.servers:
-            server.says.clear()
+            server.extra_headers.clear()
     assert lines[-1]["reason"] == "limited"
-    told = {x["endpoint_id"] for x in lines if x["event"] == "endpoint_limit"}
-    assert told == {"i-0", "i-1"}
+    limited_endpoints = {
+        x["endpoint_id"] for x in lines if x["event"] == "endpoint_limit"
+    }
+    assert limited_endpoints == {"i-0", "i-1"}
--- a/tests/integration/test_faults.py
+++ b/tests/integration/test_faults.py
@@ -1,4 +1,4 @@
-"""Promises under faults: real processes, a proxy in front of every agent."""
+"""Guarantees under faults: real processes with a fault proxy before every agent."""
 
 import signal
 import threading
@@ -19,11 +19,10 @@
     "services": 1,
     "proxied": True,
 }
-GIVE_UP_BOUND_S = 5
-# The brief: no new work "after a few seconds". SIGTERM reaches the agent
-# asynchronously, so a request sent a moment after the signal may still be
-# taken before the agent sees it; the bound is on the time from the signal
-# to the last new arrival.
+FINAL_ANSWER_BOUND_S = 5
+# From SIGTERM to the last new request. An agent must accept no new work within a few
+# seconds of the signal. It handles the signal asynchronously, so a request sent just
+# after the signal may still be accepted.
 DRAIN_BOUND_MS = 2000
 
 
@@ -34,10 +33,10 @@
 
 
 @pytest.fixture
-def heal(proxied):
+def restore_links(proxied):
     yield
-    for steer in proxied.steer_by_agent.values():
-        client.fault(steer, "pass")
+    for proxy_admin_port in proxied.steer_by_agent.values():
+        client.fault(proxy_admin_port, "pass")
 
 
 def owner_of(deployment, key):
@@ -51,35 +50,34 @@
     return [e for e in deployment.executions() if e["key"] == key]
 
 
-def test_lost_answer_is_unknown_then_replayed_once(proxied, heal):
-    # Symptom: a dues charge runs twice, or the caller is told "not run"
-    # about a charge that ran. Sequence: the agent forwards the charge, the
-    # service does it, the answer from agent to entry is held (frozen link)
-    # past the entry's timeout; the caller retries with the same key once
-    # the link thaws. Cause guarded against: an entry that says "not run"
-    # on a timeout, or an agent that forwards a key a second time.
+def test_lost_answer_is_unknown_then_replayed_once(proxied, restore_links):
+    # Guards against an entry that answers "not_run" on a timeout although the charge
+    # ran, and against an agent that forwards the same key twice, so that the charge
+    # runs twice. The agent forwards the charge and the service executes it; the answer
+    # from agent to entry is held back beyond the entry's timeout; the caller retries
+    # with the same key once the link is restored.
     key = "lost-answer-1"
-    steer = proxied.steer_by_agent[owner_of(proxied, key)]
+    proxy_admin_port = proxied.steer_by_agent[owner_of(proxied, key)]
     port = proxied.entries_by_zone["z1"][0]
-    client.fault(steer, "freeze", "down")
+    client.fault(proxy_admin_port, "freeze", "down")
     first = client.call(port, "dues_charge", key, {"vessel": "trawler-3"})
     assert first.status == 504
     assert first.final["outcome"] == "unknown"
     assert "Retry-After" in first.headers
-    client.fault(steer, "pass")
+    client.fault(proxy_admin_port, "pass")
     again = client.call(port, "dues_charge", key, {"vessel": "trawler-3"})
     assert again.final["outcome"] == "done"
     assert len(runs(proxied, key)) == 1
 
 
-def test_late_and_reordered_answers_reach_their_own_callers(proxied, heal):
-    # Symptom: a planner gets another planner's draft, or half of it.
-    # Sequence: every agent link delays and reorders pieces by up to 40 ms
-    # while 24 requests run at once. Cause guarded against: relaying a read
-    # answer without checking its request id and offset.
-    for name, steer in proxied.steer_by_agent.items():
+def test_late_and_reordered_answers_reach_their_own_callers(proxied, restore_links):
+    # Guards against a caller that receives another caller's answer or a part of it,
+    # because the entry relays a chunk without checking its request id and offset. Every
+    # agent link delays and reorders data by up to 40 ms while 24 requests run
+    # concurrently.
+    for name, proxy_admin_port in proxied.steer_by_agent.items():
         if "engine" in name:
-            client.fault(steer, "reorder", "both", 40)
+            client.fault(proxy_admin_port, "reorder", "both", 40)
     ports = [p for ps in proxied.entries_by_zone.values() for p in ps]
     answers = {}
 
@@ -98,11 +96,10 @@
         assert [line["i"] for line in answer.lines[:-1]] == list(range(10))
 
 
-def test_given_up_request_is_answered_at_once(proxied, heal):
-    # Symptom: a caller waits until its own timeout for an answer the entry
-    # already gave up on. Sequence: a long answer streams; its agent's link
-    # is cut mid-stream. Cause guarded against: holding the final answer
-    # back instead of sending it when the entry stops trying.
+def test_abandoned_request_is_answered_immediately(proxied, restore_links):
+    # Guards against a caller that waits until its own timeout for a request that the
+    # entry has already abandoned, because the final answer is not sent as soon as the
+    # entry stops its attempts. The agent's link is cut in the middle of a long stream.
     port = proxied.entries_by_zone["z1"][0]
     result = {}
 
@@ -112,22 +109,22 @@
     thread = threading.Thread(target=long_request)
     thread.start()
     owner = wait_for(lambda: engine_of(proxied, "cut-1"))
-    steer = proxied.steer_by_agent["agent-" + owner.removesuffix("-backend")]
-    client.fault(steer, "cut")
-    cut_at = time.monotonic()
+    proxy_admin_port = proxied.steer_by_agent["agent-" + owner.removesuffix("-backend")]
+    client.fault(proxy_admin_port, "cut")
+    cut_s = time.monotonic()
     thread.join(30)
-    answered_s = time.monotonic() - cut_at
+    answer_delay_s = time.monotonic() - cut_s
     final = result["answer"].final
     assert final["outcome"] in ("unknown", "done")
     if final["outcome"] == "unknown":
-        assert answered_s < GIVE_UP_BOUND_S
+        assert answer_delay_s < FINAL_ANSWER_BOUND_S
     assert [line["i"] for line in result["answer"].lines[:-1]] == list(
         range(final["tokens"])
     )
 
 
 def engine_of(deployment, request_id):
-    """The engine back end's process name that has *request_id*, or ``None``."""
+    """Name of the engine process that received *request_id*, or ``None``."""
     for name, process in deployment.by_name.items():
         if name.startswith("engine-") and name.endswith("-backend"):
             if request_id in client.get(process.port, "/requests"):
@@ -136,10 +133,9 @@
 
 
 def test_draining_agent_gets_no_new_work_and_finishes_its_own(proxied):
-    # Symptom: requests land on an endpoint that is leaving, or a planned
-    # stop cuts a draft in flight. Sequence: a long request runs on agent A;
-    # A gets SIGTERM; new requests keep coming. Cause guarded against: an
-    # agent that stops at once, or keeps accepting work while draining.
+    # Guards against an agent that accepts new requests while it is draining, and one
+    # that stops immediately and aborts its request in flight. A long request runs at
+    # an agent that receives SIGTERM while new requests keep arriving.
     port = proxied.entries_by_zone["z1"][0]
     result = {}
     thread = threading.Thread(
@@ -159,40 +155,37 @@
     assert all(a.final["outcome"] == "done" for a in later), [a.final for a in later]
     arrivals = client.get(proxied.by_name[backend].port, "/requests")
     after = [at - drained_at_ms for i, at in arrivals.items() if i != "drain-1"]
-    last_new_ms = max(after, default=0)
-    assert last_new_ms < DRAIN_BOUND_MS, arrivals
+    last_arrival_ms = max(after, default=0)
+    assert last_arrival_ms < DRAIN_BOUND_MS, arrivals
     assert proxied.by_name[agent].wait(30) == 0, "drained agent did not exit 0"
 
 
-def test_cut_off_zone_goes_on_serving(proxied, heal):
-    # Symptom: a zone cut off from the other stops answering, or answers
-    # service calls it cannot keep at most once. Sequence: every agent of
-    # z2 becomes unreachable from everywhere (links cut); callers keep
-    # using z1's entry. Cause guarded against: routing to members that
-    # cannot answer without moving on, and running a key outside its owner.
-    for name, steer in proxied.steer_by_agent.items():
+def test_cut_off_zone_goes_on_serving(proxied, restore_links):
+    # Guards against a zone that stops answering when it is cut off from the other one,
+    # because its entry keeps routing to unreachable members; and against service calls
+    # that are executed by an agent other than the key's owner, as these may run more
+    # than once. The links to all agents of z2 are cut while callers use z1's entry.
+    for name, proxy_admin_port in proxied.steer_by_agent.items():
         if "-z2-" in name:
-            client.fault(steer, "cut")
+            client.fault(proxy_admin_port, "cut")
     port = proxied.entries_by_zone["z1"][0]
     answers = [client.generate(port, f"#5 cut zone {i}", 6) for i in range(10)]
     assert all(a.final["outcome"] == "done" for a in answers)
     for i in range(6):
         key = f"cut-zone-{i}"
-        began = time.monotonic()
+        start_s = time.monotonic()
         answer = client.call(port, "slot_lookup", key, {"slot": i})
-        assert time.monotonic() - began < GIVE_UP_BOUND_S
+        assert time.monotonic() - start_s < FINAL_ANSWER_BOUND_S
         assert answer.final["outcome"] in ("done", "not_run")
         if answer.final["outcome"] == "not_run":
             assert "Retry-After" in answer.headers
             assert runs(proxied, key) == []
 
 
-def test_planned_stop_of_an_entry_cuts_nothing(proxied, heal):
-    # Symptom: a caller's stream ends early when an entry instance is
-    # stopped for maintenance. Sequence: a long request streams through
-    # the z2 entry; the entry gets SIGTERM. Cause guarded against: an
-    # entry that closes its connections on SIGTERM instead of finishing
-    # what it has in flight.
+def test_planned_stop_of_an_entry_completes_its_streams(proxied, restore_links):
+    # Guards against an entry that closes its connections on SIGTERM instead of
+    # completing the requests in flight, so that a caller's stream ends early. A long
+    # request streams through the z2 entry when it receives SIGTERM.
     port = proxied.entries_by_zone["z2"][0]
     result = {}
     thread = threading.Thread(
--- a/tests/integration/test_operators.py
+++ b/tests/integration/test_operators.py
@@ -1,4 +1,4 @@
-"""What operators steer through the document, and ask with ``dunlinctl``."""
+"""Operators control a deployment by its document and query it with ``dunlinctl``."""
 
 import json
 import subprocess
@@ -28,13 +28,13 @@
     return ctl(deployment, "apply", str(path), "--expect", str(expected))
 
 
-def in_force(deployment):
+def lowest_entry_version(deployment):
     ports = [p for ports in deployment.entries_by_zone.values() for p in ports]
     return min(client.get(port, "/v1/status")["document_version"] for port in ports)
 
 
 def engines_reached(deployment, prefix):
-    """Engine stand-ins that got a request whose id starts with *prefix*."""
+    """Simulated engines that received a request whose id starts with *prefix*."""
     found = set()
     for name, process in deployment.by_name.items():
         if name.startswith("engine-"):
@@ -45,14 +45,14 @@
 
 
 def test_documents_limit_and_drain(deployment, tmp_path):
-    # Symptom: one workspace's flood keeps the others waiting, or an endpoint
-    # that operators wrote out of service goes on getting work. Cause guarded
-    # against: a document that is in force without being obeyed.
+    # Guards against a document that is in force but not obeyed: one workspace exceeds
+    # its limit and delays the others, or an endpoint that operators drain still
+    # receives requests.
     small = config.Workspace(name="small", max_in_flight=1)
     doc = attrs.evolve(config.DEFAULT, workspaces=[small])
     code, _ = apply(deployment, doc, 0, tmp_path / "limit.json")
     assert code == 0
-    wait_for(lambda: in_force(deployment) >= 1)
+    wait_for(lambda: lowest_entry_version(deployment) >= 1)
     port = deployment.entries_by_zone["z1"][0]
     answers = []
 
@@ -73,18 +73,18 @@
 
     code, out = ctl(deployment, "drain", "engine-z1-0")
     assert code == 0 and json.loads(out)["accepted"]
-    wait_for(lambda: in_force(deployment) >= 2)
-    wait_for(lambda: '"engine-z1-0"' in draining(deployment))
+    wait_for(lambda: lowest_entry_version(deployment) >= 2)
+    wait_for(lambda: '"engine-z1-0"' in draining_lines(deployment))
     for number in range(12):
         client.generate(port, f"#2 after drain {number}", 2, f"drained-{number}")
     assert engines_reached(deployment, "drained-") == {"engine-z1-1"}
     code, _ = ctl(deployment, "drain", "engine-z1-0", "--back")
     assert code == 0
-    wait_for(lambda: '"engine-z1-0"' not in draining(deployment))
+    wait_for(lambda: '"engine-z1-0"' not in draining_lines(deployment))
 
 
-def draining(deployment):
-    """The lines of ``dunlinctl members`` that tell of draining endpoints."""
+def draining_lines(deployment):
+    """The lines of ``dunlinctl members`` that list draining endpoints."""
     _, out = ctl(deployment, "members")
     lines = [line for line in out.splitlines() if json.loads(line)["draining"]]
     return "\n".join(lines)
@@ -99,10 +99,10 @@
     assert code == 1 and json.loads(out)["outcome"] == "not_known"
 
 
-def test_engine_stops_for_a_caller_that_left(deployment):
-    # Symptom: engines work on for callers who are gone. Sequence: a caller
-    # closes its connection in the middle of a long stream. Cause: nothing
-    # told the engine.
+def test_engine_stops_for_a_disconnected_caller(deployment):
+    # Guards against engines that continue to generate for disconnected callers, because
+    # the cancellation does not reach the engine. A caller closes its connection in the
+    # middle of a long stream.
     port = deployment.entries_by_zone["z2"][0]
     connection = client.http.client.HTTPConnection("127.0.0.1", port, timeout=10)
     body = json.dumps({"prompt": "#3 left", "max_tokens": 5000})
--- a/tests/integration/test_path.py
+++ b/tests/integration/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes: entry -> agent -> stand-in."""
+"""The request path through real processes: entry, agent, simulated back end."""
 
 import subprocess
 import sys
@@ -30,8 +30,8 @@
     assert len(ran) == 1
 
 
-def weigh_only_skew(deployment, path):
-    """Put a document in force in which moving experts costs nothing."""
+def apply_skew_only_document(deployment, path):
+    """Apply a document in which only skew has weight and moving experts is free."""
     group = attrs.evolve(config.DEFAULT.groups[0], skew_weight=1.0)
     path.write_text(config.dump(attrs.evolve(config.DEFAULT, groups=[group])))
     controls = ",".join(f"{host}:{port}" for host, port in deployment.controls)
@@ -44,11 +44,10 @@
 
 
 def test_rebalance_keeps_one_map_per_step(deployment, tmp_path):
-    # Symptom: ranks of one group compute a step with different expert
-    # maps. Sequence: traffic leans on one block of experts, the agent
-    # orders a new map while steps run, under load. Cause guarded against:
-    # a map taking effect at a rank mid-step instead of at a step boundary
-    # for all ranks.
+    # Guards against ranks of one group that compute a step with different expert maps,
+    # because a new map takes effect at one rank within a step instead of at all ranks
+    # at a step boundary. Traffic is concentrated on one block of experts, and the agent
+    # commands a new map while steps run under load.
     from tests.integration.waits import wait_for
 
     ports = [p for ps in deployment.entries_by_zone.values() for p in ps]
@@ -58,9 +57,9 @@
         if n.startswith("engine-") and n.endswith("-backend")
     ]
 
-    # With moves weighed, a rebalance is worth it only from a few thousand
-    # tokens a second on, which a slow machine does not reach in time.
-    weigh_only_skew(deployment, tmp_path / "skew.json")
+    # With the default cost of moves, a rebalance pays off only from a few thousand
+    # tokens per second, which a slow machine does not reach in time.
+    apply_skew_only_document(deployment, tmp_path / "skew.json")
 
     def versions():
         threads = [
--- a/tests/integration/test_planned_stop.py
+++ b/tests/integration/test_planned_stop.py
@@ -1,38 +1,37 @@
-"""A planned stop of an entry: what is in flight reaches its caller whole."""
+"""Answers in flight at a planned stop of an entry reach their callers complete."""
 
 import signal
 import socket
 import time
 
-from tests.integration.platform_lab import ATTEMPT, BIG_BYTES, HOST, ask
+from tests.integration.platform_lab import ATTEMPT, HOST, LARGE_BODY_BYTES, ask
 from tests.integration.waits import wait_for
 
-# Longer than the entry takes connections after SIGTERM, shorter than its grace.
-READS_AFTER_S = 3.5
+# Longer than the entry accepts connections after SIGTERM, shorter than its grace time.
+READ_DELAY_S = 3.5
 
 
 def test_an_answer_still_in_the_buffers_is_not_cut_at_the_exit(platform):
-    # Symptom: a connection ends in the middle of an answer, some milliseconds
-    # after its server had ended it. Sequence: SIGTERM; the last request is
-    # answered; its bytes still wait for a caller that reads slowly; nothing
-    # is in flight any more, and the process exits. Cause: an answer was taken
-    # for given when it was handed to the connection, not when it had left.
+    # Guards against an answer that is truncated because the entry counts it as complete
+    # when it is written to the connection's buffer, not when it has been sent. After
+    # SIGTERM the last request is answered, its data is still buffered for a caller that
+    # reads slowly, no request is in flight, and the process exits.
     with socket.socket() as caller:
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         caller.connect(("127.0.0.1", platform.entry_port))
         head = f"POST /once/big HTTP/1.1\r\nHost: {HOST}\r\n{ATTEMPT}: big-1\r\n"
         head += "X-Dunlinpoint-Deadline-Ms: 5000\r\nAuthorization: Bearer key-1\r\n"
         caller.sendall(head.encode() + b"Content-Length: 2\r\n\r\n{}")
-        wait_for(lambda: platform.ran("big-1"))
+        wait_for(lambda: platform.servers_that_ran("big-1"))
         time.sleep(0.5)
         platform.entry.send_signal(signal.SIGTERM)
         wait_for(lambda: ask(platform.ready_port, "GET", "/api/readyz")[0] == 503)
-        time.sleep(READS_AFTER_S)
+        time.sleep(READ_DELAY_S)
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
         received = bytearray()
         caller.settimeout(5)
         while piece := caller.recv(1 << 20):
             received += piece
     assert received.startswith(b"HTTP/1.1 200")
-    assert received.count(b"x") >= BIG_BYTES
+    assert received.count(b"x") >= LARGE_BODY_BYTES
     assert platform.entry.wait(10) == 0
--- a/tests/integration/test_platform.py
+++ b/tests/integration/test_platform.py
@@ -1,4 +1,4 @@
-"""Callers' own HTTP through a real entry and control on the platform's calls."""
+"""Callers' HTTP requests through a real entry and control, as on the platform."""
 
 import json
 import signal
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.integration.platform_lab import EVENTS, SIGNATURE, ask, document, event
+from tests.integration.platform_lab import EVENT_COUNT, SIGNATURE, ask, document, event
 from tests.integration.waits import wait_for
 
 
@@ -22,46 +22,46 @@
 def test_unknown_key_and_route_are_denied(platform):
     assert platform.call("plain", "d-1", Authorization="Bearer other")[0] == 401
     assert platform.call("plain", "d-2", prefix="/nowhere/")[0] == 404
-    assert platform.ran("d-1") == platform.ran("d-2") == []
+    assert platform.servers_that_ran("d-1") == platform.servers_that_ran("d-2") == []
 
 
-def test_full_servers_are_told_as_not_run_with_a_time_to_come_back(platform):
+def test_full_servers_are_reported_as_not_run_with_retry_after(platform):
     status, headers, _ = platform.call("full", "f-1")
     assert status == 503
     assert float(headers["Retry-After"]) > 0
-    assert platform.ran("f-1") == []
+    assert platform.servers_that_ran("f-1") == []
 
 
 @pytest.mark.parametrize("kind", ["unsigned", "foreign"])
 def test_an_answer_that_is_not_the_servers_own_is_not_passed_on(platform, kind):
-    # Symptom: a caller gets bytes that belong to another request. Sequence:
-    # a server answers without its signature, or with another request's id.
-    # Cause guarded against: passing on whatever comes next on a connection.
+    # Guards against a caller that receives the answer to another request, because the
+    # entry passes on any answer that arrives on the connection. A server answers
+    # without its signature, or with the id of another request.
     status, headers, body = platform.call(kind, f"x-{kind}")
     assert status == 502
     assert SIGNATURE not in headers and b"another" not in body
-    assert len(platform.ran(f"x-{kind}")) == 1
+    assert len(platform.servers_that_ran(f"x-{kind}")) == 1
 
 
-def test_idempotent_requests_go_on_to_another_server(platform):
+def test_idempotent_requests_are_retried_at_another_server(platform):
     status, _, _ = platform.call("unsigned", "o-1", prefix="/often/")
     assert status == 502
-    assert sorted(platform.ran("o-1")) == ["i-0", "i-1"]
+    assert sorted(platform.servers_that_ran("o-1")) == ["i-0", "i-1"]
 
 
 def test_a_stream_broken_within_an_event_is_resumed_without_a_gap(platform):
-    # Symptom: half an event joined to another server's bytes, or an event
-    # twice. Sequence: a server breaks off inside an event; the stream is
-    # resumed at another. Cause guarded against: passing on bytes, not events.
+    # Guards against a partial event joined to the data of another server, and against
+    # a repeated event, because the entry passes on bytes instead of complete events. A
+    # server closes the connection within an event; the stream is resumed at another.
     status, _, body = platform.call("stream", "s-1", prefix="/stream/")
     assert status == 200
-    assert body == b"".join(event(number) for number in range(1, EVENTS + 1))
-    assert sorted(platform.ran("s-1")) == ["i-0", "i-1"]
+    assert body == b"".join(event(number) for number in range(1, EVENT_COUNT + 1))
+    assert sorted(platform.servers_that_ran("s-1")) == ["i-0", "i-1"]
 
 
-def test_config_takes_keys_away_and_never_goes_back(platform):
-    # Symptom: a key that was taken away works again. Sequence: version 9
-    # takes key-1 away; version 5, held up on its way, arrives after it.
+def test_config_revokes_keys_and_never_reverts(platform):
+    # Guards against a revoked key that becomes valid again: version 9 revokes key-1,
+    # and the delayed version 5 arrives after it.
     put = json.dumps(document(9, keys=("key-2",)))
     assert platform.admin("POST", "/api/config/replace", put)[0] == 200
     wait_for(lambda: platform.call("plain", "k-1")[0] == 401)
@@ -86,7 +86,7 @@
     assert status == 400 and b"nobody" in text
 
 
-def test_left_server_gets_nothing_more(platform):
+def test_deregistered_server_receives_no_requests(platform):
     status, _ = platform.admin("POST", "/api/instances/i-1/deregister")
     assert status == 200
     wait_for(lambda: platform.call("plain", "l-0")[1][SIGNATURE] == "i-0")
@@ -95,9 +95,9 @@
 
 
 def test_planned_stop_refuses_kept_connections_and_ends_by_itself(platform):
-    # Symptom: answers cut at the end of an instance's grace time. Sequence:
-    # SIGTERM; a caller goes on using its kept connection until the end.
-    # Cause: requests were taken for as long as a connection stayed open.
+    # Guards against answers that are cut off at the end of an instance's grace time,
+    # because requests are accepted for as long as a connection stays open. After
+    # SIGTERM, a caller continues to use its persistent connection.
     with socket.create_connection(("127.0.0.1", platform.entry_port)):
         platform.entry.send_signal(signal.SIGTERM)
         wait_for(lambda: ask(platform.ready_port, "GET", "/api/readyz")[0] == 503)
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -1,33 +1,33 @@
-"""Seeds of the fault soak: some for every run, and each that ever failed."""
+"""Fault soak: a fixed selection of seeds, and every seed that has failed before."""
 
 import pytest
 
 from dunlinpoint.soak import run
 
 SEEDS = [1]
-# Seeds whose back ends say what they take.
-TELLING = [2]
-# A seed that failed stays, with its cause.
+# Seeds that are run with back ends that send load signals.
+SIGNALLING = [2]
+# Cause of the failure by seed; a seed that has failed stays in the list.
 FAILED = {
-    21: "SIGHUP ended an entry that was just starting, and nobody started it again",
-    28: "the same",
-    31: "the same",
-    36: "the same",
-    11: "the proxy let bytes overtake delayed ones: a stream with an event missing",
+    21: "SIGHUP ended an entry during start-up, and it was not restarted",
+    28: "as 21",
+    31: "as 21",
+    36: "as 21",
+    11: "the proxy sent data ahead of delayed data: an event was missing in a stream",
 }
 
 
 @pytest.mark.timeout(120)
 @pytest.mark.parametrize("seed", SEEDS + sorted(FAILED))
-def test_no_promise_is_broken(seed):
+def test_no_guarantee_is_violated(seed):
     verdict = run.play(seed)
     assert verdict.broken == []
     assert verdict.answered > verdict.requests / 2
 
 
 @pytest.mark.timeout(120)
-@pytest.mark.parametrize("seed", TELLING)
-def test_what_back_ends_say_of_themselves_is_heeded(seed):
+@pytest.mark.parametrize("seed", SIGNALLING)
+def test_endpoint_signals_are_obeyed(seed):
     verdict = run.play(seed, telling=True)
     assert verdict.broken == []
     assert verdict.answered > verdict.requests / 2
--- a/tests/integration/test_suspects.py
+++ b/tests/integration/test_suspects.py
@@ -1,9 +1,9 @@
-"""A request that ends every endpoint that runs it, through real processes.
+"""A request that crashes every endpoint that runs it, through real processes.
 
-Symptom: one caller takes down an endpoint each time it comes back. Sequence: endpoints
-end when they begin to run the request and are back a second later; the caller brings
-the same request again, at any entry. Cause: nothing is remembered of a request once its
-attempt is over.
+Guards against a caller that crashes an endpoint with each retry, because nothing is
+recorded about a request after its attempt. Endpoints crash when they start to run the
+request and restart a second later; the caller sends the same request again, to any
+entry.
 """
 
 import json
@@ -21,11 +21,11 @@
 
 ENDPOINTS = 4
 ENTRIES = 2
-BACK_S = 1.0
-BEAT_S = 0.3
-# What a caller sends, on a connection of its own each time.
-GUILTY = b'{"ends": "whoever runs it"}'
-# Answers each request with its mark, and ends when it reads a guilty one.
+RESTART_DELAY_S = 1.0
+HEARTBEAT_INTERVAL_S = 0.3
+# Body of the request that crashes endpoints, sent on a new connection each time.
+CRASHING_BODY = b'{"ends": "whoever runs it"}'
+# Program of an endpoint: signs its answers, and exits when it reads CRASHING_BODY.
 ENDPOINT = f"""
 import http.server, os, sys
 class Handler(http.server.BaseHTTPRequestHandler):
@@ -33,7 +33,7 @@
     def log_message(self, *args):
         pass
     def do_POST(self):
-        if self.rfile.read(int(self.headers["Content-Length"])) == {GUILTY!r}:
+        if self.rfile.read(int(self.headers["Content-Length"])) == {CRASHING_BODY!r}:
             os._exit(1)
         self.send_response(200)
         for name in ("{platform_lab.ATTEMPT}", "Content-Length"):
@@ -41,28 +41,28 @@
             self.send_header(name, value)
         self.send_header("{platform_lab.SIGNATURE}", sys.argv[2])
         self.end_headers()
-place = "127.0.0.1", int(sys.argv[1])
-http.server.ThreadingHTTPServer(place, Handler).serve_forever()
+address = "127.0.0.1", int(sys.argv[1])
+http.server.ThreadingHTTPServer(address, Handler).serve_forever()
 """
 
 
 @attrs.define(eq=False)
 class Endpoint:
-    """One endpoint's process, started again under its id after it has ended."""
+    """An endpoint's process, which is restarted under the same id after a crash."""
 
     name: str
     port: int
     popen: subprocess.Popen | None = None
-    born_ms: int = 0
-    ends: int = 0
+    started_ms: int = 0
+    crashes: int = 0
 
     def start(self):
         argv = [sys.executable, "-c", ENDPOINT, str(self.port), self.name]
         self.popen = subprocess.Popen(argv)
-        self.born_ms = int(time.time() * 1000)
+        self.started_ms = int(time.time() * 1000)
 
-    def beat(self):
-        """The body of a heartbeat."""
+    def heartbeat_body(self):
+        """The body of a heartbeat request."""
         return {
             "service": "desk",
             "address": f"127.0.0.1:{self.port}",
@@ -70,13 +70,13 @@
             "slots": 4,
             "state": "ready",
             "seqNo": 0,
-            "born": self.born_ms,
+            "born": self.started_ms,
         }
 
 
 @attrs.define(eq=False)
 class Lab:
-    """A control, its entries and endpoints."""
+    """A control with its entries and endpoints."""
 
     folder: object
     admin_port: int
@@ -85,10 +85,10 @@
     endpoints: list
     entry_ports: list = attrs.field(factory=list)
     entries: list = attrs.field(factory=list)
-    ended: threading.Event = attrs.field(factory=threading.Event)
+    stopped: threading.Event = attrs.field(factory=threading.Event)
 
     def start_entry(self, index):
-        """Start the entry *index*, and wait until it serves."""
+        """Start entry number *index* and wait until it is ready."""
         port, ready = self.entry_ports[index]
         self.entries[index] = platform_lab.start(
             self.folder,
@@ -116,30 +116,30 @@
     def admin(self, path, body):
         return platform_lab.ask(self.admin_port, "POST", path, json.dumps(body))[0]
 
-    def keep_up(self):
-        """Heartbeats of the endpoints that run; a new start of those that ended."""
-        back_s = {}
-        while not self.ended.wait(BEAT_S):
+    def supervise_endpoints(self):
+        """Send the heartbeats of running endpoints, and restart crashed ones."""
+        restart_s = {}
+        while not self.stopped.wait(HEARTBEAT_INTERVAL_S):
             for endpoint in self.endpoints:
-                if endpoint.popen.poll() is not None and endpoint not in back_s:
-                    endpoint.ends += 1
-                    back_s[endpoint] = time.monotonic() + BACK_S
-                if back_s.get(endpoint, 0) > time.monotonic():
+                if endpoint.popen.poll() is not None and endpoint not in restart_s:
+                    endpoint.crashes += 1
+                    restart_s[endpoint] = time.monotonic() + RESTART_DELAY_S
+                if restart_s.get(endpoint, 0) > time.monotonic():
                     continue
-                if back_s.pop(endpoint, None):
+                if restart_s.pop(endpoint, None):
                     endpoint.start()
                 path = f"/api/instances/{endpoint.name}/heartbeat"
                 try:
-                    self.admin(path, endpoint.beat())
+                    self.admin(path, endpoint.heartbeat_body())
                 except OSError:
                     return
 
-    def ends(self):
-        """How many endpoints have ended so far."""
-        return sum(endpoint.ends for endpoint in self.endpoints)
+    def crash_count(self):
+        """Number of endpoint crashes so far."""
+        return sum(endpoint.crashes for endpoint in self.endpoints)
 
     def stop(self):
-        self.ended.set()
+        self.stopped.set()
         for process in [self.control, *self.entries]:
             process.kill()
             process.wait(10)
@@ -168,7 +168,7 @@
         endpoint.start()
     try:
         wait_for(lambda: deploy.listening(admin_port))
-        threading.Thread(target=found.keep_up, daemon=True).start()
+        threading.Thread(target=found.supervise_endpoints, daemon=True).start()
         document = platform_lab.document(3, keys=("key-1",))
         document["tenants"].append({"name": "brand-b", "apiKeys": ["key-2"]})
         wait_for(lambda: found.admin("/api/config/replace", document) == 200)
@@ -182,45 +182,51 @@
         found.stop()
 
 
-def bring(lab, entry, number, prefix="/often/"):
-    """One attempt of the guilty request, and the time that endpoints need after it."""
-    answer = lab.ask(entry, f"g-{number}", GUILTY, prefix)
-    time.sleep(BACK_S + 3 * BEAT_S)
+def send_crashing_request(lab, entry, number, prefix="/often/"):
+    """Send the crashing request; returns once the endpoint has had time to restart."""
+    answer = lab.ask(entry, f"g-{number}", CRASHING_BODY, prefix)
+    time.sleep(RESTART_DELAY_S + 3 * HEARTBEAT_INTERVAL_S)
     return answer
 
 
-def test_three_endpoints_end_whichever_entries_the_caller_goes_to(lab):
-    answers = [bring(lab, number % ENTRIES, number) for number in range(5)]
-    assert lab.ends() == 3, answers
+def test_three_endpoints_crash_whichever_entries_the_caller_uses(lab):
+    answers = [
+        send_crashing_request(lab, number % ENTRIES, number) for number in range(5)
+    ]
+    assert lab.crash_count() == 3, answers
     assert answers[-2:] == [(503, b"convicted")] * 2
     assert lab.ask(0, "other-body", b"{}")[0] == 200
 
 
-def test_a_caller_that_may_run_it_once_ends_three_endpoints_as_well(lab):
-    answers = [bring(lab, number % ENTRIES, number, "/once/") for number in range(5)]
-    assert lab.ends() == 3, answers
+def test_a_non_idempotent_request_also_crashes_three_endpoints(lab):
+    answers = [
+        send_crashing_request(lab, number % ENTRIES, number, "/once/")
+        for number in range(5)
+    ]
+    assert lab.crash_count() == 3, answers
     assert [status for status, _ in answers] == [502, 502, 502, 503, 503]
 
 
-def test_an_entry_that_starts_is_told_of_convictions(lab):
-    # Sequence: the caller goes to one entry until it is refused there; the other one is
-    # killed and starts again, and knows nothing of its own.
+def test_a_restarted_entry_receives_convictions(lab):
+    # The caller uses one entry until it is refused there. The other entry is killed and
+    # restarts without any record of its own.
     for number in range(3):
-        bring(lab, 0, number)
-    assert lab.ends() == 3
+        send_crashing_request(lab, 0, number)
+    assert lab.crash_count() == 3
     lab.entries[1].kill()
     lab.entries[1].wait(10)
     lab.start_entry(1)
     wait_for(lambda: lab.ask(1, "warm", b"{}")[0] == 200)
-    assert bring(lab, 1, 3) == (503, b"convicted")
-    assert lab.ends() == 3
+    assert send_crashing_request(lab, 1, 3) == (503, b"convicted")
+    assert lab.crash_count() == 3
 
 
-def test_another_caller_is_not_refused_for_it(lab):
-    # Symptom feared: a caller has what others ask refused by asking the same.
+def test_another_caller_is_not_refused_for_the_same_request(lab):
+    # Guards against a caller that gets the requests of others refused by sending the
+    # same request.
     for number in range(3):
-        bring(lab, 0, number)
-    assert lab.ask(0, "a", GUILTY)[1] == b"convicted"
-    before = lab.ends()
-    lab.ask(0, "b", GUILTY, "/once/", key="key-2")
-    wait_for(lambda: lab.ends() == before + 1)
+        send_crashing_request(lab, 0, number)
+    assert lab.ask(0, "a", CRASHING_BODY)[1] == b"convicted"
+    before = lab.crash_count()
+    lab.ask(0, "b", CRASHING_BODY, "/once/", key="key-2")
+    wait_for(lambda: lab.crash_count() == before + 1)
--- a/tests/integration/waits.py
+++ b/tests/integration/waits.py
@@ -1,10 +1,10 @@
-"""Waiting for what other processes do, with a bound."""
+"""Waiting for a state of other processes, with a timeout."""
 
 import time
 
 
 def wait_for(check, timeout_s=15, every_s=0.05):
-    """Wait until ``check()`` is true; its value, or fail the test at the bound."""
+    """Wait until ``check()`` is true and return its value; fail after *timeout_s*."""
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
         value = check()
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -1,15 +1,15 @@
-"""The benchmarks of decisions run, and keep to their bounds.
+"""The decision benchmarks run and stay within their bounds.
 
-Their traces are seeded and their bounds are on ratios of counts and loads,
-not on times, so the verdict is the same every time.
+The result is deterministic: the traces are seeded, and the bounds are on ratios of
+counts and loads, not on times.
 """
 
 from bench import placement, rebalance
 
 
-def test_placement_keeps_to_its_bounds():
+def test_placement_stays_within_its_bounds():
     placement.main([])
 
 
-def test_rebalance_keeps_to_its_bounds():
+def test_rebalance_stays_within_its_bounds():
     rebalance.main()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,9 +1,9 @@
-"""What a process loads before it can serve.
+"""Modules that a process imports before it can serve.
 
-Symptom: callers of a zone whose entries were killed are refused for two seconds more
-than the restart takes. Cause: each process loaded what all roles need, TLS and an HTTP
-client among it. Grounds of the list: with it a start took 1.1 s of a core and 65 MB,
-without it 0.8 s and 50 MB.
+Guards against slow starts: when every process imported the modules of all roles, TLS
+and an HTTP client among them, a zone whose entries had been killed refused callers for
+two seconds longer than the restart takes. With the modules listed here a start took
+1.1 s of CPU time and 65 MB, without them 0.8 s and 50 MB.
 """
 
 import subprocess
