--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -6,7 +6,7 @@
 
 SEEDS = [1]
 # Seeds that are run with back ends that send load signals.
-SIGNALLING = [2]
+SIGNALLING_SEEDS = [2]
 # Cause of the failure by seed; a seed that has failed stays in the list.
 FAILED = {
     21: "SIGHUP ended an entry during start-up, and it was not restarted",
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.timeout(120)
-@pytest.mark.parametrize("seed", SIGNALLING)
+@pytest.mark.parametrize("seed", SIGNALLING_SEEDS)
 def test_endpoint_signals_are_obeyed(seed):
     verdict = run.play(seed, telling=True)
     assert verdict.broken == []
