--- a/dunlinpoint/entry/app.py
+++ b/dunlinpoint/entry/app.py
@@ -94,7 +94,7 @@
 
 @defer.inlineCallbacks
 def start(entry, order):
-    """Start *order* at an engine agent; return its member, or ``None``.
+    """Start the request *order* at an engine agent; return its member, or ``None``.
 
     Another agent is tried only after a refusal or a failed connection, since the
     request certainly did not start there. If the response to ``start`` is lost, the
@@ -198,11 +198,11 @@
         )
         entry.in_flight += 1
         try:
-            status, answer, retry = yield call_service(entry, order)
+            status, answer, retry_after_s = yield call_service(entry, order)
         finally:
             entry.in_flight -= 1
         answer["request_id"] = request_id
-        return json_response(request, status, answer, retry)
+        return json_response(request, status, answer, retry_after_s)
 
     @web.route("/v1/status", methods=["GET"])
     def status(request):
@@ -306,8 +306,8 @@
         entry.counters.refused(refused.reason)
         if refused.retry_after_ms == 0:
             return 400, {"outcome": "not_run", "reason": refused.reason}, None
-        retry = max(1, refused.retry_after_ms // 1000)
-        return 503, {"outcome": "not_run", "reason": refused.reason}, retry
+        retry_after_s = max(1, refused.retry_after_ms // 1000)
+        return 503, {"outcome": "not_run", "reason": refused.reason}, retry_after_s
     except errors.NotSent:
         entry.counters.refused("agent_unreachable")
         return 503, {"outcome": "not_run"}, RETRY_AFTER_S
--- a/dunlinpoint/forward/admission.py
+++ b/dunlinpoint/forward/admission.py
@@ -26,9 +26,14 @@
     workspace = None
     if table.has_keys and not route.public:
         if forwarder.key_lease_ended():
-            # The entry has lost contact with the controls, which lasts seconds.
-            retry_ms = outage.max_retry_after_ms(caller_timeout_ms(forwarder, request))
-            responses.respond(forwarder, request, 503, "document_not_vouched", retry_ms)
+            # Contact with the controls is lost, usually for seconds, so the longest
+            # Retry-After that the caller obeys is sent.
+            retry_after_ms = outage.max_retry_after_ms(
+                caller_timeout_ms(forwarder, request)
+            )
+            responses.respond(
+                forwarder, request, 503, "document_not_vouched", retry_after_ms
+            )
             return None
         workspace = table.workspace(responses.header(request, b"authorization"))
         if workspace is None:
--- a/dunlinpoint/forward/attempts.py
+++ b/dunlinpoint/forward/attempts.py
@@ -33,16 +33,16 @@
             return
         now = forwarder.clock.now()
         by_group = forwarder.available_groups(call.service, now)
-        found = capacity.find_group(forwarder, call, by_group, now)
-        if found is capacity.JoinResult.FULL and now < capacity.wait_limit_ms(call):
+        result = capacity.find_group(forwarder, call, by_group, now)
+        if result is capacity.JoinResult.FULL and now < capacity.wait_limit_ms(call):
             yield forwarder.clock.sleep(capacity.poll_interval_ms(call))
             continue
-        if found is not capacity.JoinResult.JOINED:
-            capacity.refuse(forwarder, call, found)
+        if result is not capacity.JoinResult.JOINED:
+            capacity.refuse(forwarder, call, result)
             return
         member = next_member(forwarder, call, by_group, now)
         if member is None:
-            members = [m for inside in by_group.values() for m in inside]
+            members = [m for group_members in by_group.values() for m in group_members]
             available_ms = forwarder.picker.available_ms(members, now, call.tried)
             if available_ms is not None and available_ms <= capacity.wait_limit_ms(
                 call
@@ -75,10 +75,12 @@
 
     Endpoints in the call's current group are preferred.
     """
-    own = [call.group] if call.group in by_group else []
-    for group in own + [group for group in by_group if group != call.group]:
-        near = (call.service, group) not in forwarder.uneven_groups
-        member = forwarder.picker.pick(by_group[group], now, call.tried, near)
+    own_group = [call.group] if call.group in by_group else []
+    for group in own_group + [group for group in by_group if group != call.group]:
+        prefer_own_zone = (call.service, group) not in forwarder.uneven_groups
+        member = forwarder.picker.pick(
+            by_group[group], now, call.tried, prefer_own_zone
+        )
         if member is not None:
             capacity.assign_group(forwarder, call, group)
             return member
@@ -105,8 +107,8 @@
 def wait_while_stalled(forwarder, call):
     """Wait while all groups of *call* are stalled.
 
-    Fires with ``False`` if the wait timed out and the final response was sent. A call
-    waits only once, until shortly before its caller would disconnect.
+    Fires with ``False`` if they are still stalled and the final response was sent. Only
+    a stream waits, only once, and until shortly before its caller would disconnect.
     """
     if not is_stalled(forwarder, call):
         return True
@@ -147,13 +149,13 @@
 def outage_retry_after_ms(forwarder, call):
     """Return the ``Retry-After`` (ms) of *call* while all its groups are stalled."""
     now = forwarder.clock.now()
-    since = forwarder.outages.outage_start_ms(forwarder.members(call.service), now)
+    start_ms = forwarder.outages.outage_start_ms(forwarder.members(call.service), now)
     return outage.outage_retry_after_ms(
-        since, now, call.deadline_ms - now, forwarder.rng
+        start_ms, now, call.deadline_ms - now, forwarder.rng
     )
 
 
-def give_up(forwarder, call, reason, retry_ms=responses.RETRY_AFTER_MS):
+def give_up(forwarder, call, reason, retry_after_ms=responses.RETRY_AFTER_MS):
     """Send the final response of a request that no endpoint answered."""
     request = call.request
     if call.disconnected:
@@ -180,7 +182,7 @@
             request,
             503,
             reason,
-            retry_ms,
+            retry_after_ms,
             **exchange.log_fields(forwarder, call),
         )
     else:
--- a/dunlinpoint/forward/capacity.py
+++ b/dunlinpoint/forward/capacity.py
@@ -10,15 +10,15 @@
 
 # Range of Retry-After when the wait for capacity timed out. Streams last a second or
 # two, so enough of them end in that time.
-RETRY_MS = (500, 1500)
+RETRY_AFTER_RANGE_MS = (500, 1500)
 # The same during a lasting overload. Callers that retry sooner find the same overload,
 # are refused again and have no attempt left.
-OVERLOAD_RETRY_MS = (1800, 2600)
+OVERLOAD_RETRY_AFTER_RANGE_MS = (1800, 2600)
 # Maximum wait for capacity as a share of the latency target of the first event. Prompt
 # processing takes most of the rest.
 WAIT_SHARE = 0.5
 MAX_WAIT_MS = 300
-# A few polls per decode step.
+# Interval of the polls for capacity: a few per decode step.
 POLL_INTERVAL_MS = 25
 # The same for callers that are queued after an outage, which wait longer.
 QUEUED_POLL_INTERVAL_MS = 50
@@ -49,9 +49,9 @@
     if group is not None:
         groups.controller(group).began()
     call.group = group
-    if call.turn is not None:
-        groups.queue.leave(call.turn)
-        call.turn = None
+    if call.queue_key is not None:
+        groups.queue.leave(call.queue_key)
+        call.queue_key = None
 
 
 def is_past_latency_target(call, now):
@@ -80,7 +80,7 @@
     refused is past its latency target when it retries. A caller that is queued after
     an outage waits until shortly before it would disconnect.
     """
-    if call.turn is not None:
+    if call.queue_key is not None:
         return disconnect_limit_ms(call)
     wait_ms = min(WAIT_SHARE * call.route.aim_ms, MAX_WAIT_MS)
     return min(call.arrived_ms + wait_ms, call.deadline_ms)
@@ -88,7 +88,7 @@
 
 def poll_interval_ms(call):
     """Return the interval (ms) at which *call* polls for capacity."""
-    return POLL_INTERVAL_MS if call.turn is None else QUEUED_POLL_INTERVAL_MS
+    return POLL_INTERVAL_MS if call.queue_key is None else QUEUED_POLL_INTERVAL_MS
 
 
 def find_group(forwarder, call, by_group, now):
@@ -139,30 +139,30 @@
     if stable:
         return stable
     groups = forwarder.groups(call)
-    if call.turn is None:
+    if call.queue_key is None:
         left_ms = call.deadline_ms - call.arrived_ms
         is_retry = admission_control.is_caller_retry(left_ms, call.route.timeout_ms)
-        call.turn = not is_retry, disconnect_limit_ms(call), id(call)
-        groups.queue.enter(call.turn)
+        call.queue_key = not is_retry, disconnect_limit_ms(call), id(call)
+        groups.queue.enter(call.queue_key)
     if call.deadline_ms - now < outage.TYPICAL_ANSWER_MS:
         return []
     spare = groups.free_slots(usable)
-    is_next = groups.queue.ahead_of(call.turn) < sum(spare.values())
+    is_next = groups.queue.ahead_of(call.queue_key) < sum(spare.values())
     return list(spare) if is_next else []
 
 
 def leave(forwarder, call):
     """Remove *call*, which has ended, from its group and from the queue."""
     assign_group(forwarder, call, None)
-    if call.turn is not None:
-        forwarder.groups(call).queue.leave(call.turn)
+    if call.queue_key is not None:
+        forwarder.groups(call).queue.leave(call.queue_key)
 
 
 def log_overload(forwarder, service, groups, by_group, now):
     """Log the start and the end of an overload of each group of *by_group*."""
     for group in by_group:
-        found = groups.controller(group)
-        share = found.long_window_admitted_share(now)
+        controller = groups.controller(group)
+        share = controller.long_window_admitted_share(now)
         key = service, group
         if (share < 1) == (key in forwarder.overloaded_groups):
             continue
@@ -174,29 +174,33 @@
             service=service,
             group=group,
             on=share < 1,
-            lasting_ms=round(found.long_window.value, 1),
-            pause_ms=found.median_gap_ms,
-            streams=found.in_flight,
+            lasting_ms=round(controller.long_window.value, 1),
+            pause_ms=controller.median_gap_ms,
+            streams=controller.in_flight,
         )
 
 
-def refuse(forwarder, call, found):
-    """Refuse *call* because of *found* (``FULL`` or ``OVERLOADED``).
+def refuse(forwarder, call, result):
+    """Refuse *call* because of *result* (``FULL`` or ``OVERLOADED``).
 
     The response has a ``Retry-After`` that the caller's deadline permits.
     """
     groups, now = forwarder.groups(call), forwarder.clock.now()
     controllers = [groups.controller(group) for group in groups.share_by_group]
-    is_overload = found is JoinResult.OVERLOADED
-    retry_ms = forwarder.rng.uniform(*(OVERLOAD_RETRY_MS if is_overload else RETRY_MS))
+    is_overload = result is JoinResult.OVERLOADED
+    retry_after_ms = forwarder.rng.uniform(
+        *(OVERLOAD_RETRY_AFTER_RANGE_MS if is_overload else RETRY_AFTER_RANGE_MS)
+    )
     responses.respond(
         forwarder,
         call.request,
         503,
-        found.value,
-        min(retry_ms, outage.max_retry_after_ms(call.deadline_ms - now)),
+        result.value,
+        min(retry_after_ms, outage.max_retry_after_ms(call.deadline_ms - now)),
         service=call.service,
-        pause_ms=[seen.median_gap_ms for seen in controllers],
-        lasting_ms=[round(seen.long_window.value, 1) for seen in controllers],
-        let_in=[round(seen.admitted_share(now), 2) for seen in controllers],
+        pause_ms=[controller.median_gap_ms for controller in controllers],
+        lasting_ms=[
+            round(controller.long_window.value, 1) for controller in controllers
+        ],
+        let_in=[round(controller.admitted_share(now), 2) for controller in controllers],
     )
--- a/dunlinpoint/forward/exchange.py
+++ b/dunlinpoint/forward/exchange.py
@@ -27,9 +27,9 @@
 
 NOT_FORWARDED_HEADERS = {b"content-length", b"authorization", b"expect"}
 LOWEST_PRIORITY = 9
-# Added to the priority value of a request past its latency target: a request that
-# takes its slot instead can still meet the target.
-LATE_PRIORITY_PENALTY = 5
+# Added to the priority value (9 is the least urgent) of a request past its latency
+# target: a request that gets a slot instead of it can still meet its own target.
+PAST_TARGET_PRIORITY_PENALTY = 5
 # Outcomes of an attempt.
 DONE, NOT_RUN, BROKEN, FAILED = "done", "not_run", "broken", "failed"
 
@@ -148,15 +148,15 @@
     if call.workspace is not None and call.workspace.priority is not None:
         priority = call.workspace.priority
     if call.streaming and capacity.is_past_latency_target(call, now):
-        priority += LATE_PRIORITY_PENALTY
+        priority += PAST_TARGET_PRIORITY_PENALTY
     return min(max(priority, 0), LOWEST_PRIORITY)
 
 
 def build_message(forwarder, call, member):
     """Return the request as it is sent to *member*."""
-    named = responses.header(call.request, b"connection") or ""
+    connection_options = responses.header(call.request, b"connection") or ""
     dropped = responses.HOP_BY_HOP | {
-        n.strip().lower().encode() for n in named.split(",")
+        n.strip().lower().encode() for n in connection_options.split(",")
     }
     dropped |= NOT_FORWARDED_HEADERS
     own = forwarder.names
--- a/dunlinpoint/forward/pool.py
+++ b/dunlinpoint/forward/pool.py
@@ -260,9 +260,9 @@
         connection.close()
         raise Broken(repr(exc)) from exc
     for value in head.headers.getRawHeaders(b"keep-alive", ()):
-        found = KEEP_ALIVE_TIMEOUT.search(value)
-        if found:
-            limit_ms = int(found[1]) * clock.MS_PER_SECOND - KEEP_ALIVE_MARGIN_MS
+        match = KEEP_ALIVE_TIMEOUT.search(value)
+        if match:
+            limit_ms = int(match[1]) * clock.MS_PER_SECOND - KEEP_ALIVE_MARGIN_MS
             connection.idle_limit_ms = max(0, limit_ms)
     return head
 
--- a/dunlinpoint/forward/quarantine.py
+++ b/dunlinpoint/forward/quarantine.py
@@ -30,7 +30,7 @@
 # How long after the end of a connection a new incarnation still confirms a crash.
 RESTART_WINDOW_MS = 10_000
 # Retry-After of a suspect while another execution of it is in progress.
-SUSPECT_RETRY_MS = 1000
+SUSPECT_RETRY_AFTER_MS = 1000
 
 
 @attrs.define
@@ -80,7 +80,9 @@
         """Apply reports of this entry, and share those that are new."""
         now = forwarder.clock.now()
         new_reports = [
-            w for w in reports if self._apply_report(forwarder, w.to_message(now), now)
+            report
+            for report in reports
+            if self._apply_report(forwarder, report.to_message(now), now)
         ]
         if new_reports:
             self.sharing.publish(new_reports)
@@ -103,22 +105,22 @@
 
     Digests are computed only while there are suspects.
     """
-    found = forwarder.quarantine.known
-    if not len(found):
+    known = forwarder.quarantine.known
+    if not len(known):
         return registry.SuspectStatus.CLEAR
-    return found.suspect_status(digest_of(call), forwarder.clock.now())
+    return known.suspect_status(digest_of(call), forwarder.clock.now())
 
 
 def enter(forwarder, call):
     """Whether *call* may run; if not, its final response has been sent."""
-    found = suspect_status(forwarder, call)
-    if found is registry.SuspectStatus.CLEAR:
+    status = suspect_status(forwarder, call)
+    if status is registry.SuspectStatus.CLEAR:
         return True
     running = forwarder.quarantine.running_suspects
-    if found is registry.SuspectStatus.CONVICTED:
+    if status is registry.SuspectStatus.CONVICTED:
         refuse(forwarder, call, "convicted", registry.EXPIRY_MS)
     elif call.digest in running:
-        refuse(forwarder, call, "suspect_at_work", SUSPECT_RETRY_MS)
+        refuse(forwarder, call, "suspect_at_work", SUSPECT_RETRY_AFTER_MS)
     else:
         running.add(call.digest)
         call.is_isolated = True
@@ -126,14 +128,14 @@
     return False
 
 
-def refuse(forwarder, call, reason, retry_ms):
+def refuse(forwarder, call, reason, retry_after_ms):
     """Refuse *call* with 503; it has not run."""
     responses.respond(
         forwarder,
         call.request,
         503,
         reason,
-        retry_ms,
+        retry_after_ms,
         digest=call.digest.hex(),
         service=call.service,
     )
@@ -148,15 +150,15 @@
 
 def request_served(forwarder, call):
     """Clear *call*, which an endpoint has served without crashing."""
-    found = forwarder.quarantine
-    if not len(found.known) and not found.pending_by_incarnation:
+    quarantine = forwarder.quarantine
+    if not len(quarantine.known) and not quarantine.pending_by_incarnation:
         return
     request_digest = digest_of(call)
-    for pending in found.pending_by_incarnation.values():
+    for pending in quarantine.pending_by_incarnation.values():
         pending.digests.discard(request_digest)
-    suspect = found.known.suspect_by_digest.get(request_digest)
+    suspect = quarantine.known.suspect_by_digest.get(request_digest)
     if suspect is not None and suspect.ended_ms_by_incarnation:
-        found.record_local(
+        quarantine.record_local(
             forwarder,
             [sharing.PendingReport(request_digest, "", forwarder.clock.now())],
         )
@@ -164,11 +166,11 @@
 
 def connection_ended(forwarder, call, member):
     """Start a check: the connection to *member* ended while *call* was running."""
-    found = forwarder.quarantine
+    quarantine = forwarder.quarantine
     incarnation = pick.incarnation_key(member)
-    pending = found.pending_by_incarnation.get(incarnation)
+    pending = quarantine.pending_by_incarnation.get(incarnation)
     if pending is None:
-        pending = found.pending_by_incarnation[incarnation] = PendingCheck(
+        pending = quarantine.pending_by_incarnation[incarnation] = PendingCheck(
             member, forwarder.clock.now()
         )
         check_endpoint(forwarder, incarnation, pending).addErrback(_failed)
@@ -192,11 +194,11 @@
 
 def detect_restarts(forwarder):
     """Find crashed endpoints by their new incarnations, after a change of members."""
-    found = forwarder.quarantine.pending_by_incarnation
-    if not found:
+    pending_by_incarnation = forwarder.quarantine.pending_by_incarnation
+    if not pending_by_incarnation:
         return
     members = [m for m in forwarder.view.endpoints() if not m.gone]
-    for incarnation, pending in list(found.items()):
+    for incarnation, pending in list(pending_by_incarnation.items()):
         if any(is_restart_of(member, pending.member) for member in members):
             endpoint_crashed(forwarder, incarnation)
 
--- a/dunlinpoint/forward/state.py
+++ b/dunlinpoint/forward/state.py
@@ -60,7 +60,7 @@
     group_members_by_service: dict = attrs.field(factory=dict)
     uneven_groups: set = attrs.field(factory=set)
     overloaded_groups: set = attrs.field(factory=set)
-    ordered_for: tuple | None = None
+    member_order_key: tuple | None = None
     started_ms: int = 0
 
     @classmethod
@@ -136,9 +136,9 @@
         live = self.view.live("service")
         view = self.view
         self.picker.signals.update(view.entry_index, view.entry_count, self.clock.now())
-        state = view.generation, view.zone_index, view.zone_entries
-        if self.ordered_for != state:
-            self.ordered_for = state
+        order_key = view.generation, view.zone_index, view.zone_entries
+        if self.member_order_key != order_key:
+            self.member_order_key = order_key
             self._order_members(live)
 
     def _order_members(self, live):
@@ -181,26 +181,26 @@
                 self.view.zone_index,
                 self.view.zone_entries,
             )
-            for group, inside in by_group.items():
+            for group, group_members in by_group.items():
                 by_group[group] = endpoint_order.preferred_order_in_group(
-                    inside, zone, zone_index, zone_entries
+                    group_members, zone, zone_index, zone_entries
                 )
-                if not endpoint_order.is_evenly_distributed(inside, zone):
+                if not endpoint_order.is_evenly_distributed(group_members, zone):
                     self.uneven_groups.add((service, group))
-        for service, found in self.groups_by_service.items():
-            self._update_group_sizes(service, found)
+        for service, service_groups in self.groups_by_service.items():
+            self._update_group_sizes(service, service_groups)
 
-    def _update_group_sizes(self, service, found):
-        """Update *found* (``Groups``) with each group's size and size in this zone."""
+    def _update_group_sizes(self, service, service_groups):
+        """Set the size of each group in *service_groups*, overall and in this zone."""
         by_group = self.group_members_by_service.get(service, {})
         sizes = {group: len(members) for group, members in by_group.items()}
-        here = {
+        own_zone_sizes = {
             group: sum(m.zone == self.view.zone for m in members)
             for group, members in by_group.items()
         }
         members = self.members_by_service.get(service, [])
         slots = latency.entry_slots(members, self.view.zone, self.view.zone_entries)
-        found.update(sizes, here, slots)
+        service_groups.update(sizes, own_zone_sizes, slots)
 
     def groups(self, call):
         """Return the ``Groups`` of *call*'s service.
@@ -209,12 +209,12 @@
         """
         if not call.streaming or not call.route.pause_ms:
             return None
-        found = self.groups_by_service.get(call.service)
-        if found is None:
-            found = groups.Groups(call.route.pause_ms)
-            self.groups_by_service[call.service] = found
-            self._update_group_sizes(call.service, found)
-        return found
+        service_groups = self.groups_by_service.get(call.service)
+        if service_groups is None:
+            service_groups = groups.Groups(call.route.pause_ms)
+            self.groups_by_service[call.service] = service_groups
+            self._update_group_sizes(call.service, service_groups)
+        return service_groups
 
     def group_of(self, member):
         """Return the rank group of *member*, or ``""`` if none is known."""
@@ -255,7 +255,7 @@
     - ``in_flight_at_endpoint``: requests of this entry at the endpoint when it was
       chosen.
     - ``waited``: whether it has waited for a stalled group.
-    - ``turn``: its turn in the queue of a group that opened recently.
+    - ``queue_key``: its key in the queue of callers past their latency target.
     """
 
     request: object
@@ -283,7 +283,7 @@
     first_ms: int | None = None
     in_flight_at_endpoint: int = 0
     waited: bool = False
-    turn: tuple | None = None
+    queue_key: tuple | None = None
 
     def stop(self):
         """Abort the attempt in progress."""
--- a/dunlinpoint/forward/tests/test_capacity.py
+++ b/dunlinpoint/forward/tests/test_capacity.py
@@ -17,8 +17,8 @@
 from dunlinpoint.wire.gen.dunlin import ttypes
 
 MEMBER = ttypes.Member(endpoint_id="a", zone="z", slots=6)
-ALLOWED_MS = 120
-AIM_MS = 400
+MAX_GAP_MS = 120
+LATENCY_TARGET_MS = 400
 DEADLINE_MS = 8000
 SLOTS = 24
 ROUTE = config.Route(
@@ -28,8 +28,8 @@
     kind=config.STREAMING,
     timeout_ms=DEADLINE_MS,
     split=[],
-    aim_ms=AIM_MS,
-    pause_ms=ALLOWED_MS,
+    aim_ms=LATENCY_TARGET_MS,
+    pause_ms=MAX_GAP_MS,
 )
 
 
@@ -62,7 +62,7 @@
     deadline_ms: int
     arrived_ms: int = 0
     last_event_ms: int = 0
-    turn: tuple | None = None
+    queue_key: tuple | None = None
     waited: bool = False
     started: bool = False
     is_over: bool = False
@@ -85,11 +85,11 @@
 def entry(monkeypatch):
     """A clock, an entry with nine streams at its group, and the list of outcomes.
 
-    An outcome is ``("sent", ms)`` or ``(reason, ms, status, retry_ms)``.
+    An outcome is ``("sent", ms)`` or ``(reason, ms, status, retry_after_ms)``.
     """
     reactor = task.Clock()
     outcomes = []
-    forwarder = Forwarder(clock.Clock(reactor), all_groups.Groups(ALLOWED_MS))
+    forwarder = Forwarder(clock.Clock(reactor), all_groups.Groups(MAX_GAP_MS))
     forwarder.found.update({"g": 16}, {"g": 16}, SLOTS)
     for _ in range(9):
         forwarder.found.controller("g").began()
@@ -98,15 +98,15 @@
         outcomes.append(("sent", forwarder.clock.now()))
         return exchange.DONE
 
-    def refused(_forwarder, _request, status, reason, retry_ms, **_log_fields):
-        outcomes.append((reason, forwarder.clock.now(), status, retry_ms))
+    def refused(_forwarder, _request, status, reason, retry_after_ms, **_log_fields):
+        outcomes.append((reason, forwarder.clock.now(), status, retry_after_ms))
 
     monkeypatch.setattr(attempts.exchange, "make_attempt", make_attempt)
     monkeypatch.setattr(capacity.responses, "respond", refused)
     return reactor, forwarder, outcomes
 
 
-def play(reactor, forwarder, call, pause_ms):
+def run_with_steps(reactor, forwarder, call, pause_ms):
     """Run *call* for a second with decode steps of ``pause_ms(now)``."""
     forwarder.found.record_gap("g", pause_ms(0), 0)
     attempts.run(forwarder, call)
@@ -119,25 +119,33 @@
 
 def test_a_request_waits_out_a_jump_in_demand(entry):
     reactor, forwarder, outcomes = entry
-    play(reactor, forwarder, Call(DEADLINE_MS), lambda now: 118 if now < 100 else 50)
+    run_with_steps(
+        reactor, forwarder, Call(DEADLINE_MS), lambda now: 118 if now < 100 else 50
+    )
     ((kind, at_ms),) = outcomes
-    assert kind == "sent" and 100 <= at_ms < capacity.WAIT_SHARE * AIM_MS + 50
+    assert (
+        kind == "sent" and 100 <= at_ms < capacity.WAIT_SHARE * LATENCY_TARGET_MS + 50
+    )
 
 
 def test_a_request_is_refused_when_its_wait_times_out(entry):
     reactor, forwarder, outcomes = entry
-    play(reactor, forwarder, Call(DEADLINE_MS), lambda _now: 118)
-    ((reason, at_ms, status, retry_ms),) = outcomes
+    run_with_steps(reactor, forwarder, Call(DEADLINE_MS), lambda _now: 118)
+    ((reason, at_ms, status, retry_after_ms),) = outcomes
     assert (reason, status) == ("no_room", 503)
-    assert at_ms <= capacity.WAIT_SHARE * AIM_MS + capacity.POLL_INTERVAL_MS
-    assert capacity.RETRY_MS[0] <= retry_ms <= capacity.RETRY_MS[1]
+    assert at_ms <= capacity.WAIT_SHARE * LATENCY_TARGET_MS + capacity.POLL_INTERVAL_MS
+    assert (
+        capacity.RETRY_AFTER_RANGE_MS[0]
+        <= retry_after_ms
+        <= capacity.RETRY_AFTER_RANGE_MS[1]
+    )
 
 
 def overload(forwarder):
     """Record six seconds of decode steps just over the limit, up to now."""
     for since_ms in range(6000, -1, -50):
         forwarder.found.record_gap(
-            "g", ALLOWED_MS + 1, forwarder.clock.now() - since_ms
+            "g", MAX_GAP_MS + 1, forwarder.clock.now() - since_ms
         )
 
 
@@ -149,9 +157,13 @@
     now = forwarder.clock.now()
     call = Call(now + DEADLINE_MS, arrived_ms=now, admission_draw=0.5)
     attempts.run(forwarder, call)
-    ((reason, at_ms, status, retry_ms),) = outcomes
+    ((reason, at_ms, status, retry_after_ms),) = outcomes
     assert (reason, at_ms, status) == ("overloaded", now, 503)
-    assert capacity.OVERLOAD_RETRY_MS[0] <= retry_ms <= capacity.OVERLOAD_RETRY_MS[1]
+    assert (
+        capacity.OVERLOAD_RETRY_AFTER_RANGE_MS[0]
+        <= retry_after_ms
+        <= capacity.OVERLOAD_RETRY_AFTER_RANGE_MS[1]
+    )
     assert forwarder.overloaded_groups == {("s", "g")}
 
 
@@ -161,8 +173,8 @@
     overload(forwarder)
     now = forwarder.clock.now()
     attempts.run(forwarder, Call(now + 3000, arrived_ms=now, admission_draw=0.5))
-    ((_reason, _at_ms, _status, retry_ms),) = outcomes
-    assert retry_ms <= 1000
+    ((_reason, _at_ms, _status, retry_after_ms),) = outcomes
+    assert retry_after_ms <= 1000
 
 
 def test_the_end_of_an_overload_is_recorded(entry):
@@ -196,7 +208,7 @@
     reactor, forwarder, outcomes = entry
     call = Call(DEADLINE_MS)
     reactor.callLater(0.05, setattr, call, "disconnected", True)
-    play(reactor, forwarder, call, lambda now: 118 if now < 100 else 50)
+    run_with_steps(reactor, forwarder, call, lambda now: 118 if now < 100 else 50)
     assert outcomes == []
 
 
@@ -237,7 +249,7 @@
     forwarder.found.controller("g").ended()
     reactor.advance(0.1)
     assert [kind for kind, _ in outcomes] == ["sent", "sent"]
-    assert forwarder.found.queue.turns == []
+    assert forwarder.found.queue.keys == []
 
 
 def test_a_queued_caller_is_refused_before_it_disconnects(entry):
@@ -250,11 +262,11 @@
     for _ in range(50):
         reactor.advance(0.05)
         record_short_steps(forwarder)
-    ((reason, at_ms, status, _retry_ms),) = outcomes
+    ((reason, at_ms, status, _retry_after_ms),) = outcomes
     assert (reason, status) == ("no_room", 503)
-    event_timeout_ms = outage.event_timeout_ms(AIM_MS, ALLOWED_MS)
+    event_timeout_ms = outage.event_timeout_ms(LATENCY_TARGET_MS, MAX_GAP_MS)
     assert event_timeout_ms / 2 < at_ms - began_ms < event_timeout_ms
-    assert forwarder.found.queue.turns == []
+    assert forwarder.found.queue.keys == []
 
 
 def test_a_disconnected_caller_does_not_block_the_queue(entry):
@@ -295,7 +307,7 @@
     reopen_group(forwarder)
     began_ms = forwarder.clock.now()
     attempts.run(forwarder, call_past_target(forwarder, outage.TYPICAL_ANSWER_MS - 1))
-    ((reason, at_ms, status, _retry_ms),) = outcomes
+    ((reason, at_ms, status, _retry_after_ms),) = outcomes
     assert (reason, at_ms, status) == ("no_room", began_ms, 503)
 
 
@@ -329,11 +341,11 @@
     attempts.run(forwarder, Call(DEADLINE_MS))
     for _ in range(50):
         reactor.advance(0.05)
-    ((reason, at_ms, status, retry_ms),) = outcomes
+    ((reason, at_ms, status, retry_after_ms),) = outcomes
     assert (reason, status) == ("group_stands", 503)
-    event_timeout_ms = outage.event_timeout_ms(AIM_MS, ALLOWED_MS)
+    event_timeout_ms = outage.event_timeout_ms(LATENCY_TARGET_MS, MAX_GAP_MS)
     assert event_timeout_ms / 2 < at_ms < event_timeout_ms
-    assert 0 < retry_ms <= (DEADLINE_MS - at_ms) / 3
+    assert 0 < retry_after_ms <= (DEADLINE_MS - at_ms) / 3
 
 
 def test_a_caller_refused_as_its_group_stalls_waits_and_retries_late(
@@ -353,10 +365,10 @@
     assert outcomes == []
     for _ in range(50):
         reactor.advance(0.05)
-    ((reason, at_ms, status, retry_ms),) = outcomes
+    ((reason, at_ms, status, retry_after_ms),) = outcomes
     assert (reason, status) == ("group_stands", 503)
-    assert at_ms > outage.event_timeout_ms(AIM_MS, ALLOWED_MS) / 2
-    assert retry_ms > (DEADLINE_MS - at_ms) / 4
+    assert at_ms > outage.event_timeout_ms(LATENCY_TARGET_MS, MAX_GAP_MS) / 2
+    assert retry_after_ms > (DEADLINE_MS - at_ms) / 4
 
 
 def test_a_caller_with_too_little_time_does_not_wait(entry):
@@ -364,7 +376,7 @@
     reactor, forwarder, outcomes = entry
     StalledGroup(forwarder, opens_ms=60_000)
     attempts.run(forwarder, Call(outage.TYPICAL_ANSWER_MS - 1))
-    ((reason, at_ms, status, _retry_ms),) = outcomes
+    ((reason, at_ms, status, _retry_after_ms),) = outcomes
     assert (reason, at_ms, status) == ("group_stands", 0, 503)
 
 
@@ -381,7 +393,7 @@
     # Guards against refusing callers that would have met their latency target.
     reactor, forwarder, outcomes = entry
     limit(forwarder, per_s=10)
-    play(reactor, forwarder, Call(DEADLINE_MS), lambda _now: 50)
+    run_with_steps(reactor, forwarder, Call(DEADLINE_MS), lambda _now: 50)
     ((kind, at_ms),) = outcomes
     assert kind == "sent" and 100 <= at_ms < 120
 
@@ -402,10 +414,10 @@
     # the endpoint accepts requests.
     reactor, forwarder, outcomes = entry
     set_signal(forwarder, value)
-    play(reactor, forwarder, Call(DEADLINE_MS), lambda _now: 50)
-    ((reason, at_ms, status, retry_ms),) = outcomes
+    run_with_steps(reactor, forwarder, Call(DEADLINE_MS), lambda _now: 50)
+    ((reason, at_ms, status, retry_after_ms),) = outcomes
     assert (reason, at_ms, status) == ("limited", 0, 503)
-    assert available_ms <= retry_ms <= 2 * available_ms
+    assert available_ms <= retry_after_ms <= 2 * available_ms
 
 
 def test_retry_after_is_short_if_all_endpoints_are_draining(entry):
@@ -413,5 +425,5 @@
     reactor, forwarder, outcomes = entry
     draining = endpoint_signals.Signal(is_draining=True)
     forwarder.picker.signals.apply(pick.incarnation_key(MEMBER), draining, 0, 0)
-    play(reactor, forwarder, Call(DEADLINE_MS), lambda _now: 50)
+    run_with_steps(reactor, forwarder, Call(DEADLINE_MS), lambda _now: 50)
     assert outcomes == [("no_endpoint", 0, 503, capacity.responses.RETRY_AFTER_MS)]
--- a/dunlinpoint/forward/tests/test_exchange.py
+++ b/dunlinpoint/forward/tests/test_exchange.py
@@ -6,7 +6,7 @@
 from dunlinpoint.forward import exchange
 
 TIMEOUT_MS = 8000
-AIM_MS = 400
+LATENCY_TARGET_MS = 400
 
 
 class Call:
@@ -23,7 +23,7 @@
             "streaming",
             TIMEOUT_MS,
             [config.Share("s")],
-            aim_ms=AIM_MS,
+            aim_ms=LATENCY_TARGET_MS,
             priority=route,
         )
         self.workspace = workspace
@@ -49,7 +49,7 @@
 def test_a_request_past_its_target_has_lower_priority_than_all_others():
     # Guards against callers that miss their latency target because of callers that
     # waited for the end of an outage and have already missed theirs.
-    late = [exchange.priority_of(Call(p), now=AIM_MS + 1) for p in range(5)]
-    in_time = [exchange.priority_of(Call(p), now=AIM_MS) for p in range(5)]
+    late = [exchange.priority_of(Call(p), now=LATENCY_TARGET_MS + 1) for p in range(5)]
+    in_time = [exchange.priority_of(Call(p), now=LATENCY_TARGET_MS) for p in range(5)]
     assert min(late) > max(in_time)
     assert late == sorted(late)
--- a/dunlinpoint/forward/tests/test_quarantine.py
+++ b/dunlinpoint/forward/tests/test_quarantine.py
@@ -79,8 +79,8 @@
     monkeypatch.setattr(
         quarantine.responses,
         "respond",
-        lambda _forwarder, _request, status, reason, retry_ms, **_log_fields: (
-            refused.append((status, reason, retry_ms))
+        lambda _forwarder, _request, status, reason, retry_after_ms, **_log_fields: (
+            refused.append((status, reason, retry_after_ms))
         ),
     )
     return reactor, forwarder, refused
@@ -159,7 +159,7 @@
     first, second = Call(), Call()
     assert quarantine.enter(forwarder, first)
     assert not quarantine.enter(forwarder, second)
-    assert refused == [(503, "suspect_at_work", quarantine.SUSPECT_RETRY_MS)]
+    assert refused == [(503, "suspect_at_work", quarantine.SUSPECT_RETRY_AFTER_MS)]
     quarantine.leave(forwarder, first)
     assert quarantine.enter(forwarder, Call())
 
--- a/dunlinpoint/forward/watchdog.py
+++ b/dunlinpoint/forward/watchdog.py
@@ -1,10 +1,10 @@
 """Watchdog that aborts an attempt so that another endpoint can still answer.
 
-If a single endpoint of a service is unresponsive, the endpoint may be unreachable,
-its connection may be dead, or its queue may be long. In the last case requests were
-moved to other busy endpoints, and their callers received a 502 after the second such
-move. A new connection to the endpoint is therefore opened as a probe before the
-attempt is aborted.
+If only one endpoint of a service is unresponsive, the endpoint may be unreachable, its
+connection may be dead, or its queue may be long. When busy endpoints were mistaken for
+unreachable ones, their requests were moved to other busy endpoints, and the callers
+received a 502 after the second such move. A new connection to the endpoint is therefore
+opened as a probe before the attempt is aborted.
 """
 
 import attrs
--- a/dunlinpoint/routing/endpoint_signals.py
+++ b/dunlinpoint/routing/endpoint_signals.py
@@ -111,26 +111,26 @@
         log.info("endpoint_rests", endpoint_id=incarnation, rest_ms=backoff_ms)
 
     def _apply_limit(self, incarnation, state, signal, sent_ms, now):
-        known, per_s = state.limiter, signal.limit_per_s
+        limiter, per_s = state.limiter, signal.limit_per_s
         if per_s is None:
             # Answers overtake each other: one to a request sent before the limit was
             # signalled does not end the limit.
             if (
-                known is None
-                or sent_ms <= known.last_signal_ms
+                limiter is None
+                or sent_ms <= limiter.last_signal_ms
                 or not signal.is_complete
             ):
                 return
             state.limiter = None
-        elif known is None:
+        elif limiter is None:
             share = self._share(per_s, incarnation)
             state.limiter = rate.Limiter.begin(per_s, now, share, self.rng)
         else:
-            known.last_signal_ms = now
-            if known.per_s == per_s:
+            limiter.last_signal_ms = now
+            if limiter.per_s == per_s:
                 return
-            known.per_s = per_s
-            known.set_share(self._share(per_s, incarnation), now)
+            limiter.per_s = per_s
+            limiter.set_share(self._share(per_s, incarnation), now)
         log.info(
             "endpoint_limit",
             endpoint_id=incarnation,
--- a/dunlinpoint/routing/groups.py
+++ b/dunlinpoint/routing/groups.py
@@ -24,7 +24,7 @@
 # adjustment, and half of it in the second or so that a stream lasts.
 ADJUST_INTERVAL_MS = 250
 SHARE_EXPONENT = 0.25
-# Weight of the newest gap in a group's moving average. One step gives an entry an
+# Weight of the newest gap in a group's moving average. In each step, an entry gets an
 # event of each of a few streams.
 AVERAGE_WEIGHT = 0.1
 # After this time without an event, the gap of a group is unknown.
@@ -68,12 +68,12 @@
 
     def controller(self, group):
         """The ``AdmissionController`` of *group*, created on first use."""
-        found = self.controller_by_group.get(group)
-        if found is None:
-            found = self.controller_by_group[group] = (
+        controller = self.controller_by_group.get(group)
+        if controller is None:
+            controller = self.controller_by_group[group] = (
                 admission_control.AdmissionController(self.max_gap_ms)
             )
-        return found
+        return controller
 
     def update(self, sizes, own_zone_sizes, slots):
         """Set the number of endpoints by group: in all zones, and in this zone.
@@ -122,7 +122,7 @@
         """
         spare = {
             group: int(
-                latency.LATE_SLOTS_FRACTION
+                latency.PAST_TARGET_SLOTS_FRACTION
                 * self.slots
                 * self.share_by_group.get(group, 0)
                 - self.controller(group).in_flight
@@ -171,7 +171,10 @@
         }
         if len(gaps) > 1:
             weight = sum(self.share_by_group[g] for g in gaps)
-            mean = sum(self.share_by_group[g] * p for g, p in gaps.items()) / weight
+            mean = (
+                sum(self.share_by_group[g] * gap_ms for g, gap_ms in gaps.items())
+                / weight
+            )
             for group, gap_ms in gaps.items():
                 self.share_by_group[group] *= (mean / max(1, gap_ms)) ** SHARE_EXPONENT
         if all(
--- a/dunlinpoint/routing/latency.py
+++ b/dunlinpoint/routing/latency.py
@@ -16,7 +16,7 @@
 from dunlinpoint.routing import pick
 
 # The fraction of this entry's slots that callers past their target may fill.
-LATE_SLOTS_FRACTION = 1.1
+PAST_TARGET_SLOTS_FRACTION = 1.1
 
 
 def is_past_latency_target(left_ms, timeout_ms, latency_target_ms):
@@ -40,24 +40,24 @@
 
 @attrs.define
 class Queue:
-    """Queue of callers past their latency target, ordered by *turn*.
+    """Queue of callers past their latency target, ordered by *key*.
 
-    A turn is a tuple: whether the caller has another attempt, when (ms) it would give
+    A key is a tuple: whether the caller has another attempt, when (ms) it would give
     up, and a unique number.
     """
 
-    turns: list = attrs.field(factory=list)
+    keys: list = attrs.field(factory=list)
 
-    def enter(self, turn):
-        """Add the caller with *turn*."""
-        bisect.insort(self.turns, turn)
+    def enter(self, key):
+        """Add the caller with *key*."""
+        bisect.insort(self.keys, key)
 
-    def leave(self, turn):
-        """Remove the caller with *turn*, if it is queued."""
-        index = self.ahead_of(turn)
-        if self.turns[index : index + 1] == [turn]:
-            del self.turns[index]
+    def leave(self, key):
+        """Remove the caller with *key*, if it is queued."""
+        index = self.ahead_of(key)
+        if self.keys[index : index + 1] == [key]:
+            del self.keys[index]
 
-    def ahead_of(self, turn):
-        """The number of queued callers ahead of the one with *turn*."""
-        return bisect.bisect_left(self.turns, turn)
+    def ahead_of(self, key):
+        """The number of queued callers ahead of the one with *key*."""
+        return bisect.bisect_left(self.keys, key)
--- a/dunlinpoint/routing/outage.py
+++ b/dunlinpoint/routing/outage.py
@@ -72,7 +72,10 @@
     opened_ms_by_group: dict = attrs.field(factory=dict)
 
     def update(self, ranks, live_addresses, now):
-        """Update from the agents of *ranks*; return the sorted groups that opened."""
+        """Update from the agents of *ranks*; return the sorted groups that opened.
+
+        A group opens when it is no longer broken, or has formed in a new epoch.
+        """
         for rank in ranks:
             self.group_by_address[rank.engine] = rank.group
         for address in list(self.group_by_address):
--- a/dunlinpoint/routing/pick.py
+++ b/dunlinpoint/routing/pick.py
@@ -22,8 +22,8 @@
 
 from dunlinpoint.routing import endpoint_signals
 
-# Handicap, in requests, of endpoints in other zones: the way there costs a millisecond
-# or two, a queue far more.
+# Handicap, in requests, of endpoints in other zones: the network latency to them is a
+# millisecond or two, the wait in a queue far longer.
 OTHER_ZONE_REQUESTS = 1.0
 # Weight, in requests, of the position in the entry's order. Below one request, it only
 # decides between endpoints of the same load.
--- a/dunlinpoint/routing/tests/decode_steps.py
+++ b/dunlinpoint/routing/tests/decode_steps.py
@@ -53,7 +53,7 @@
     return own * (1 - EXPERT_SHARE + EXPERT_SHARE * skew)
 
 
-def play(load, limited):
+def simulate(load, limited):
     """Simulate *load*, with admission control at entries if *limited*."""
     rng = random.Random(load.seed)
     controllers = [
--- a/dunlinpoint/routing/tests/model.py
+++ b/dunlinpoint/routing/tests/model.py
@@ -49,7 +49,7 @@
     """How evenly one run loaded the ranks.
 
     *busiest* is the load of the busiest rank over the mean load, averaged over the run,
-    and *most* the same ratio for the requests sent in the whole run; *crowded* is the
+    and *most* the same ratio for the requests sent in the whole run; *overfull* is the
     fraction of requests sent to a rank without a free slot.
     """
 
@@ -58,7 +58,7 @@
     overfull: float
 
 
-def play(group, order):
+def simulate(group, order):
     """Simulate *group* with entries that prefer ranks by *order*.
 
     ``order(members, entry, rng)`` returns the list that an :class:`Entry` picks from.
--- a/dunlinpoint/routing/tests/overload.py
+++ b/dunlinpoint/routing/tests/overload.py
@@ -113,7 +113,7 @@
     engine: Engine = SMALL
     stalled_ms: tuple | None = None
     refuses_first_attempts: bool = False
-    late_slots_fraction: float = latency.LATE_SLOTS_FRACTION
+    late_slots_fraction: float = latency.PAST_TARGET_SLOTS_FRACTION
     late_served_last: bool = True
 
     def is_stalled(self, now):
@@ -174,7 +174,7 @@
     is_past_latency_target: bool = False
     last_ms: float | None = None
     attempt_ms: float = 0.0
-    turn: tuple | None = None
+    queue_key: tuple | None = None
     is_queued: bool = False
 
     def __attrs_post_init__(self):
@@ -231,20 +231,20 @@
             return False
         if not stream.is_queued:
             return True
-        if stream.turn is None:
+        if stream.queue_key is None:
             until_ms = stream.gives_up_ms(engine)
-            stream.turn = not stream.is_retry, until_ms, id(stream)
-            self.queue.enter(stream.turn)
+            stream.queue_key = not stream.is_retry, until_ms, id(stream)
+            self.queue.enter(stream.queue_key)
         return (
-            self.queue.ahead_of(stream.turn) + 1
+            self.queue.ahead_of(stream.queue_key) + 1
             <= entry_slots - self.controller.in_flight
         )
 
     def leave(self, stream):
         """Remove *stream* from the queue."""
-        if stream.turn is not None:
-            self.queue.leave(stream.turn)
-            stream.turn = None
+        if stream.queue_key is not None:
+            self.queue.leave(stream.queue_key)
+            stream.queue_key = None
 
 
 def waits(load, stream, now):
@@ -254,12 +254,12 @@
     return now < stream.gives_up_ms(load.engine)
 
 
-def play(load, make_pace=admission_control.AdmissionController):
-    """Simulate *load* with entries that admit by ``make_pace(max_gap_ms)``."""
+def simulate(load, make_controller=admission_control.AdmissionController):
+    """Simulate *load* with entries that admit by ``make_controller(max_gap_ms)``."""
     engine = load.engine
     rng = random.Random(load.seed)
     weights = [rng.uniform(0.5, 1.5) for _ in range(load.entries)]
-    entries = [Entry(make_pace(engine.max_gap_ms)) for _ in range(load.entries)]
+    entries = [Entry(make_controller(engine.max_gap_ms)) for _ in range(load.entries)]
     entry_slots = load.late_slots_fraction * engine.slots * load.ranks / load.entries
     result, now = Result(), 0.0
     running, queued, coming = [], [], []
@@ -333,7 +333,11 @@
         wait_ms = outage.outage_retry_after_ms(load.stalled_ms[0], at, left_ms, rng)
     else:
         wait_ms = rng.uniform(
-            *(capacity.OVERLOAD_RETRY_MS if is_overload else capacity.RETRY_MS)
+            *(
+                capacity.OVERLOAD_RETRY_AFTER_RANGE_MS
+                if is_overload
+                else capacity.RETRY_AFTER_RANGE_MS
+            )
         )
     caller.attempt_ms = at + min(wait_ms, outage.max_retry_after_ms(left_ms))
     return caller.attempt_ms
--- a/dunlinpoint/routing/tests/test_admission_control.py
+++ b/dunlinpoint/routing/tests/test_admission_control.py
@@ -144,15 +144,15 @@
 def test_more_are_in_time_when_fewer_are_admitted(per_s, skew):
     # Guards against a rush in which every admitted caller makes the others late.
     load = decode_steps.Load(per_s, skew)
-    limited = decode_steps.play(load, limited=True)
-    unlimited = decode_steps.play(load, limited=False)
+    limited = decode_steps.simulate(load, limited=True)
+    unlimited = decode_steps.simulate(load, limited=False)
     assert limited.in_time > unlimited.in_time
     assert limited.share_in_time > 0.5
 
 
 def test_normal_load_has_none_refused():
     load = decode_steps.Load(lambda now: 20, lambda now: 1.2)
-    assert decode_steps.play(load, limited=True).refused == 0
+    assert decode_steps.simulate(load, limited=True).refused == 0
 
 
 def jumps(now):
@@ -180,8 +180,8 @@
         load = overload.Load(
             lambda now: per_s, jumps, slow, ranks=ranks, entries=entries, seed=seed
         )
-        scores.append(overload.play(load).score)
-        unlimited.append(overload.play(load, overload.FullAdmission).score)
+        scores.append(overload.simulate(load).score)
+        unlimited.append(overload.simulate(load, overload.FullAdmission).score)
     assert statistics.mean(scores) > statistics.mean(unlimited) + gain, (
         scores,
         unlimited,
--- a/dunlinpoint/routing/tests/test_groups.py
+++ b/dunlinpoint/routing/tests/test_groups.py
@@ -20,8 +20,8 @@
 def test_an_overloaded_zone_uses_groups_with_free_capacity():
     # Guards against an overloaded zone that uses only its own, slow group.
     deployment = zones.Deployment(UNEVEN, ACROSS)
-    own_zone = zones.play(deployment, zones.own_zone_only)
-    found = zones.play(deployment, zones.by_share)
+    own_zone = zones.simulate(deployment, zones.own_zone_only)
+    found = zones.simulate(deployment, zones.by_share)
     assert min(found.values()) > 2 * min(own_zone.values()), (found, own_zone)
     assert min(found.values()) > 0.8
 
@@ -31,14 +31,14 @@
     deployment = zones.Deployment(
         EVEN, ACROSS, lambda group, now: 2.6 if group == "g1" and now > 8000 else 1.5
     )
-    own_zone = zones.play(deployment, zones.own_zone_only, length_ms=16_000)
-    found = zones.play(deployment, zones.by_share, length_ms=16_000)
+    own_zone = zones.simulate(deployment, zones.own_zone_only, length_ms=16_000)
+    found = zones.simulate(deployment, zones.by_share, length_ms=16_000)
     assert sum(found.values()) > sum(own_zone.values())
 
 
 def test_shares_do_not_oscillate():
     # Guards against all entries sending to the faster group at once.
-    found = zones.play(zones.Deployment(EVEN, ACROSS), zones.by_share)
+    found = zones.simulate(zones.Deployment(EVEN, ACROSS), zones.by_share)
     assert min(found.values()) > 0.97, found
 
 
--- a/dunlinpoint/routing/tests/test_latency.py
+++ b/dunlinpoint/routing/tests/test_latency.py
@@ -26,7 +26,7 @@
     return 3.0 if STALLED_MS[1] <= now < STALLED_MS[1] + 400 else 1.6
 
 
-def play(per_s=110, **how):
+def simulate(per_s=110, **how):
     """Outcomes of the callers of all seeds, by the window of their first attempt."""
     outcomes = collections.defaultdict(collections.Counter)
     for seed in SEEDS:
@@ -41,7 +41,7 @@
             stalled_ms=STALLED_MS,
             **how,
         )
-        for window, counts in overload.play(load).by_window.items():
+        for window, counts in overload.simulate(load).by_window.items():
             outcomes[window] += counts
     return outcomes
 
@@ -54,16 +54,17 @@
 
 def test_waiting_at_each_attempt_serves_callers_that_arrive_during_a_stall():
     # Guards against refusing the first attempt at once: no such caller was served.
-    assert score(play(refuses_first_attempts=True), [FIRST]) < 0.01
-    assert score(play(), [FIRST]) > 0.1
+    assert score(simulate(refuses_first_attempts=True), [FIRST]) < 0.01
+    assert score(simulate(), [FIRST]) > 0.1
 
 
 def test_the_backlog_of_an_outage_does_not_make_later_callers_late():
     # Guards against the callers that waited taking every slot at once.
     assert (
-        score(play(late_slots_fraction=ALL_SLOTS, late_served_last=False), OPEN) < 0.8
+        score(simulate(late_slots_fraction=ALL_SLOTS, late_served_last=False), OPEN)
+        < 0.8
     )
-    assert score(play(), OPEN) > 0.9
+    assert score(simulate(), OPEN) > 0.9
 
 
 @pytest.mark.parametrize("per_s", [80, 95, 110])
@@ -71,9 +72,9 @@
     def worst(outcomes):
         return min(score(outcomes, [window]) for window in STALLED)
 
-    refused = play(per_s, refuses_first_attempts=True)
-    assert worst(play(per_s)) > worst(refused) + 0.1
-    assert score(play(per_s), STALLED) > 0.9 * score(refused, STALLED)
+    refused = simulate(per_s, refuses_first_attempts=True)
+    assert worst(simulate(per_s)) > worst(refused) + 0.1
+    assert score(simulate(per_s), STALLED) > 0.9 * score(refused, STALLED)
 
 
 def test_a_caller_is_late_once_its_latency_target_has_passed():
@@ -106,13 +107,13 @@
 
 def test_last_attempts_go_first_and_then_the_earliest_timeout():
     queue = latency.Queue()
-    turns = [(True, 500, 1), (False, 900, 2), (False, 700, 3)]
-    for turn in turns:
-        queue.enter(turn)
-    assert [queue.ahead_of(turn) for turn in turns] == [2, 1, 0]
-    queue.leave(turns[2])
-    queue.leave(turns[2])
-    assert [queue.ahead_of(turn) for turn in turns[:2]] == [1, 0]
+    keys = [(True, 500, 1), (False, 900, 2), (False, 700, 3)]
+    for key in keys:
+        queue.enter(key)
+    assert [queue.ahead_of(key) for key in keys] == [2, 1, 0]
+    queue.leave(keys[2])
+    queue.leave(keys[2])
+    assert [queue.ahead_of(key) for key in keys[:2]] == [1, 0]
 
 
 def test_callers_wait_a_little_less_than_their_timeout():
--- a/dunlinpoint/routing/tests/test_overload.py
+++ b/dunlinpoint/routing/tests/test_overload.py
@@ -36,7 +36,7 @@
     return 3.2 if LOST_MS < now < NEW_LEADER_MS else jumps(now)
 
 
-def play(per_s, skew, **how):
+def simulate(per_s, skew, **how):
     """The results of all seeds at *per_s* arrivals a second."""
     loads = [
         overload.Load(
@@ -49,7 +49,7 @@
         )
         for seed in SEEDS
     ]
-    return [overload.play(load, **how) for load in loads]
+    return [overload.simulate(load, **how) for load in loads]
 
 
 def in_time_after(results):
@@ -63,8 +63,8 @@
 
 
 def test_the_load_fits_while_no_leader_is_lost():
-    assert in_time_after(play(150, jumps)) > IN_TIME
+    assert in_time_after(simulate(150, jumps)) > IN_TIME
 
 
 def test_most_are_in_time_soon_after_a_leader_was_lost():
-    assert in_time_after(play(150, leader_lost)) > IN_TIME
+    assert in_time_after(simulate(150, leader_lost)) > IN_TIME
--- a/dunlinpoint/routing/tests/test_pick.py
+++ b/dunlinpoint/routing/tests/test_pick.py
@@ -125,11 +125,11 @@
 @pytest.mark.parametrize("group, busiest", GROUPS)
 def test_entries_without_shared_state_distribute_evenly(group, busiest):
     # Guards against a busiest endpoint that determines the speed of all others.
-    found = model.play(group, model.round_robin)
-    before = model.play(group, model.at_random)
+    found = model.simulate(group, model.round_robin)
+    before = model.simulate(group, model.at_random)
     assert found.busiest <= busiest
     assert found.busiest <= before.busiest
-    assert found.busiest < model.play(group, model.same).busiest
+    assert found.busiest < model.simulate(group, model.same).busiest
     assert found.most <= MOST
 
 
--- a/dunlinpoint/routing/tests/test_rate.py
+++ b/dunlinpoint/routing/tests/test_rate.py
@@ -21,7 +21,7 @@
     ]
 
 
-def play(entries, per_s, wanted, limit_at=lambda _now: True):
+def simulate(entries, per_s, wanted, limit_at=lambda _now: True):
     """When (ms) requests were sent; ``wanted(now, entry)`` is whether there is one."""
     sent = []
     for now in range(0, LENGTH_MS, STEP_MS):
@@ -70,7 +70,9 @@
     for seed in range(2):
         entries = entries_of(count, seed)
         send_limit(entries, per_s)
-        assert most(play(entries, per_s, wanted)) <= 1.5 * per_s * WINDOW_MS / 1000 + 5
+        assert (
+            most(simulate(entries, per_s, wanted)) <= 1.5 * per_s * WINDOW_MS / 1000 + 5
+        )
 
 
 @pytest.mark.parametrize("per_s", [1.0, 10.0])
@@ -79,7 +81,7 @@
     # Guards against leaving the endpoint idle while there are requests for it.
     entries = entries_of(count, 1)
     send_limit(entries, per_s)
-    used = len(play(entries, per_s, always)) / (LENGTH_MS / 1000)
+    used = len(simulate(entries, per_s, always)) / (LENGTH_MS / 1000)
     assert 0.75 * per_s <= used <= 1.05 * per_s
 
 
@@ -87,7 +89,7 @@
     # Guards against entries that never send to the endpoint again.
     entries = entries_of(30, 1)
     send_limit(entries, 2.0)
-    play(entries, 2.0, always, limit_at=lambda _now: False)
+    simulate(entries, 2.0, always, limit_at=lambda _now: False)
     assert all(
         entry.state_by_incarnation[INCARNATION].limiter is None for entry in entries
     )
--- a/dunlinpoint/routing/tests/zones.py
+++ b/dunlinpoint/routing/tests/zones.py
@@ -48,7 +48,7 @@
     return entry.choose(names, now, False, rng)
 
 
-def play(deployment, choose, length_ms=24_000, seed=3):
+def simulate(deployment, choose, length_ms=24_000, seed=3):
     """The fraction of streams in time, by zone."""
     rng = random.Random(seed)
     names = list(deployment.sizes_by_group)
--- a/dunlinpoint/suspects/digest.py
+++ b/dunlinpoint/suspects/digest.py
@@ -13,10 +13,10 @@
     excludes the id of the attempt, deadlines and the position from which a stream
     continues, as they differ between attempts.
     """
-    found = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (method, uri, caller):
         # Without the lengths, requests whose joined parts are the same would collide.
-        found.update(len(part).to_bytes(LENGTH_BYTES, "big"))
-        found.update(part)
-    found.update(body)
-    return found.digest()
+        hasher.update(len(part).to_bytes(LENGTH_BYTES, "big"))
+        hasher.update(part)
+    hasher.update(body)
+    return hasher.digest()
--- a/dunlinpoint/suspects/registry.py
+++ b/dunlinpoint/suspects/registry.py
@@ -151,19 +151,19 @@
         """
         if not self.first_revision <= known <= self.revision:
             known = NO_REVISION
-        found = []
+        reports = []
         for digest in reversed(self.suspect_by_digest):
             suspect = self.suspect_by_digest[digest]
             if suspect.revision <= known:
                 break
-            found += _reports_of(digest, suspect, now)
-        return found
+            reports += _reports_of(digest, suspect, now)
+        return reports
 
 
 def _reports_of(digest, suspect, now):
-    found = []
+    reports = []
     if suspect.cleared_ms is not None:
-        found.append(ttypes.CrashReport(digest, "", now - suspect.cleared_ms))
+        reports.append(ttypes.CrashReport(digest, "", now - suspect.cleared_ms))
     for incarnation, ended_ms in suspect.ended_ms_by_incarnation.items():
-        found.append(ttypes.CrashReport(digest, incarnation, now - ended_ms))
-    return found
+        reports.append(ttypes.CrashReport(digest, incarnation, now - ended_ms))
+    return reports
--- a/dunlinpoint/suspects/tests/test_many_entries.py
+++ b/dunlinpoint/suspects/tests/test_many_entries.py
@@ -22,7 +22,7 @@
 SECOND_ATTEMPT_MS = 20
 
 
-def play(seed, enforces, repeatable=True):
+def simulate(seed, enforces, repeatable=True):
     """The number of endpoints that one request crashes."""
     rng = random.Random(seed)
     entries = [registry.Registry() for _ in range(ENTRIES)]
@@ -52,7 +52,7 @@
 def test_few_endpoints_crash_whichever_entries_get_the_request(repeatable):
     # Three crashes convict. Attempts that run while the third is being reported may
     # crash two more endpoints, for any seed.
-    crashes = [play(seed, True, repeatable) for seed in range(100)]
-    unprotected = [play(seed, False, repeatable) for seed in range(100)]
+    crashes = [simulate(seed, True, repeatable) for seed in range(100)]
+    unprotected = [simulate(seed, False, repeatable) for seed in range(100)]
     assert max(crashes) <= registry.CONVICTED_CRASHES + 2, crashes
     assert statistics.mean(crashes) < statistics.mean(unprotected) / 3
