--- a/dunlinpoint/forward/quarantine.py
+++ b/dunlinpoint/forward/quarantine.py
@@ -35,10 +35,13 @@
 
 @attrs.define
 class PendingCheck:
-    """An endpoint whose connection ended, and the requests that were running there."""
+    """An endpoint whose connection ended, and the requests that were running there.
+
+    ``connection_ended_ms`` is the time of the local clock at which it ended.
+    """
 
     member: object
-    at_ms: int
+    connection_ended_ms: int
     digests: set = attrs.field(factory=set)
 
 
@@ -221,7 +224,9 @@
     forwarder.quarantine.record_local(
         forwarder,
         [
-            sharing.PendingReport(request_digest, incarnation, pending.at_ms)
+            sharing.PendingReport(
+                request_digest, incarnation, pending.connection_ended_ms
+            )
             for request_digest in pending.digests
         ],
     )
--- a/dunlinpoint/forward/tests/test_capacity.py
+++ b/dunlinpoint/forward/tests/test_capacity.py
@@ -38,7 +38,7 @@
     """The part of an entry's state that the attempts of a request use."""
 
     clock: clock.Clock
-    found: all_groups.Groups
+    service_groups: all_groups.Groups
     picker: pick.Picker = attrs.field(factory=lambda: pick.Picker("z"))
     outages: outage.Outages = attrs.field(factory=outage.Outages)
     rng: random.Random = attrs.field(factory=lambda: random.Random(1))
@@ -54,7 +54,7 @@
     available_groups: object = lambda _service, _now: {"g": [MEMBER]}
 
     def groups(self, _call):
-        return self.found
+        return self.service_groups
 
 
 @attrs.define
@@ -90,9 +90,9 @@
     reactor = task.Clock()
     outcomes = []
     forwarder = Forwarder(clock.Clock(reactor), all_groups.Groups(MAX_GAP_MS))
-    forwarder.found.update({"g": 16}, {"g": 16}, SLOTS)
+    forwarder.service_groups.update({"g": 16}, {"g": 16}, SLOTS)
     for _ in range(9):
-        forwarder.found.controller("g").began()
+        forwarder.service_groups.controller("g").began()
 
     def make_attempt(_forwarder, _call, member):
         outcomes.append(("sent", forwarder.clock.now()))
@@ -108,13 +108,13 @@
 
 def run_with_steps(reactor, forwarder, call, pause_ms):
     """Run *call* for a second with decode steps of ``pause_ms(now)``."""
-    forwarder.found.record_gap("g", pause_ms(0), 0)
+    forwarder.service_groups.record_gap("g", pause_ms(0), 0)
     attempts.run(forwarder, call)
     for _ in range(100):
         reactor.advance(0.01)
         now = forwarder.clock.now()
         if now % 50 == 0:
-            forwarder.found.record_gap("g", pause_ms(now), now)
+            forwarder.service_groups.record_gap("g", pause_ms(now), now)
 
 
 def test_a_request_waits_out_a_jump_in_demand(entry):
@@ -144,7 +144,7 @@
 def overload(forwarder):
     """Record six seconds of decode steps just over the limit, up to now."""
     for since_ms in range(6000, -1, -50):
-        forwarder.found.record_gap(
+        forwarder.service_groups.record_gap(
             "g", MAX_GAP_MS + 1, forwarder.clock.now() - since_ms
         )
 
@@ -215,7 +215,7 @@
 def record_short_steps(forwarder):
     """Record a second of decode steps far below the limit, up to now."""
     for since_ms in range(1000, -1, -50):
-        forwarder.found.record_gap("g", 50, forwarder.clock.now() - since_ms)
+        forwarder.service_groups.record_gap("g", 50, forwarder.clock.now() - since_ms)
 
 
 def call_past_target(forwarder, left_ms=DEADLINE_MS - 2000):
@@ -231,8 +231,8 @@
 
 def fill_slots(forwarder):
     """Add streams until no slot is left for callers past their latency target."""
-    while forwarder.found.free_slots(["g"]):
-        forwarder.found.controller("g").began()
+    while forwarder.service_groups.free_slots(["g"]):
+        forwarder.service_groups.controller("g").began()
 
 
 def test_a_caller_past_its_target_waits_for_a_free_slot(entry):
@@ -246,10 +246,10 @@
     attempts.run(forwarder, Call(began_ms + DEADLINE_MS, began_ms, began_ms))
     assert outcomes == [("sent", began_ms)]
     reactor.advance(0.5)
-    forwarder.found.controller("g").ended()
+    forwarder.service_groups.controller("g").ended()
     reactor.advance(0.1)
     assert [kind for kind, _ in outcomes] == ["sent", "sent"]
-    assert forwarder.found.queue.keys == []
+    assert forwarder.service_groups.queue.keys == []
 
 
 def test_a_queued_caller_is_refused_before_it_disconnects(entry):
@@ -266,7 +266,7 @@
     assert (reason, status) == ("no_room", 503)
     event_timeout_ms = outage.event_timeout_ms(LATENCY_TARGET_MS, MAX_GAP_MS)
     assert event_timeout_ms / 2 < at_ms - began_ms < event_timeout_ms
-    assert forwarder.found.queue.keys == []
+    assert forwarder.service_groups.queue.keys == []
 
 
 def test_a_disconnected_caller_does_not_block_the_queue(entry):
@@ -282,7 +282,7 @@
     attempts.run(forwarder, stays)
     disconnecting.disconnected = True
     reactor.advance(0.1)
-    forwarder.found.controller("g").ended()
+    forwarder.service_groups.controller("g").ended()
     reactor.advance(0.1)
     assert [kind for kind, _ in outcomes] == ["sent"]
 
--- a/dunlinpoint/forward/tests/test_quarantine.py
+++ b/dunlinpoint/forward/tests/test_quarantine.py
@@ -103,7 +103,9 @@
     crash_endpoints(reactor, forwarder, "c")
     assert not quarantine.enter(forwarder, Call())
     assert refused == [(503, "convicted", registry.EXPIRY_MS)]
-    assert [w.incarnation for w in forwarder.quarantine.sharing.published] == [
+    assert [
+        report.incarnation for report in forwarder.quarantine.sharing.published
+    ] == [
         "a",
         "b",
         "c",
@@ -132,7 +134,9 @@
     reactor.advance(0.5)
     forwarder.view.members = [now_there]
     quarantine.detect_restarts(forwarder)
-    assert [w.incarnation for w in forwarder.quarantine.sharing.published] == ["a"]
+    assert [
+        report.incarnation for report in forwarder.quarantine.sharing.published
+    ] == ["a"]
 
 
 @pytest.mark.parametrize(
@@ -189,11 +193,11 @@
         ttypes.CrashReport(name, endpoint_id, 1000 * n)
         for n, endpoint_id in enumerate("abc")
     ]
-    quarantine_of = forwarder.quarantine
-    quarantine_of.receive_reports(forwarder, reports)
+    entry_quarantine = forwarder.quarantine
+    entry_quarantine.receive_reports(forwarder, reports)
     assert not quarantine.enter(forwarder, Call())
     assert refused[0][1] == "convicted"
-    assert quarantine_of.sharing.published == []
+    assert entry_quarantine.sharing.published == []
 
 
 def test_no_digest_is_computed_without_suspects(entry):
--- a/dunlinpoint/forward/tests/test_watchdog.py
+++ b/dunlinpoint/forward/tests/test_watchdog.py
@@ -22,10 +22,10 @@
 
 @attrs.define
 class Pool:
-    answers: bool
+    accepts_connections: bool
 
     def can_connect(self, member):
-        return defer.succeed(self.answers)
+        return defer.succeed(self.accepts_connections)
 
 
 @attrs.define
@@ -44,12 +44,15 @@
     service: str = "s"
 
 
-def unresponsive_for(ms, answers, used_before=False, other_responds=True):
+def unresponsive_for(ms, accepts_connections, used_before=False, other_responds=True):
     """Return the connection to an unresponsive endpoint after *ms*."""
     reactor = task.Clock()
     reactor.advance(100)
     forwarder = Forwarder(
-        clock.Clock(reactor), pick.Picker("z"), Pool(answers), metrics.Counters(None)
+        clock.Clock(reactor),
+        pick.Picker("z"),
+        Pool(accepts_connections),
+        metrics.Counters(None),
     )
     connection = Connection(used_before)
     forwarder.picker.data_received("a", forwarder.clock.now())
@@ -67,16 +70,18 @@
     # long queue of one rank for over a second while the other ranks send events. If the
     # queue is mistaken for an unreachable machine, the attempt is aborted there, and
     # again at the next rank.
-    assert not unresponsive_for(3000, answers=True).closed
+    assert not unresponsive_for(3000, accepts_connections=True).closed
 
 
 def test_an_attempt_at_an_unreachable_endpoint_is_aborted():
-    assert unresponsive_for(1500, answers=False).closed
+    assert unresponsive_for(1500, accepts_connections=False).closed
 
 
 def test_an_attempt_on_a_dead_idle_connection_is_aborted():
-    assert unresponsive_for(1500, answers=True, used_before=True).closed
+    assert unresponsive_for(1500, accepts_connections=True, used_before=True).closed
 
 
 def test_no_attempt_is_aborted_if_all_endpoints_are_unresponsive():
-    assert not unresponsive_for(3000, answers=False, other_responds=False).closed
+    assert not unresponsive_for(
+        3000, accepts_connections=False, other_responds=False
+    ).closed
--- a/dunlinpoint/routing/tests/model.py
+++ b/dunlinpoint/routing/tests/model.py
@@ -15,7 +15,7 @@
 from dunlinpoint.routing import endpoint_order, pick
 from dunlinpoint.wire.gen.dunlin import ttypes
 
-WARM_S = 5.0
+WARM_UP_S = 5.0
 ZONES = 3
 
 
@@ -83,7 +83,7 @@
         total[chosen] += 1
         end = now + group.mean_s * rng.uniform(0.3, 1.7)
         heapq.heappush(ends, (end, len(ends) + rng.random(), entry, chosen))
-        if now > WARM_S:
+        if now > WARM_UP_S:
             ratios.append(max(total.values()) * group.ranks / sum(total.values()))
             overfull += total[chosen] > group.slots
             sent[chosen] += 1
--- a/dunlinpoint/routing/tests/overload.py
+++ b/dunlinpoint/routing/tests/overload.py
@@ -4,9 +4,9 @@
 published figures: the work of the busiest rank by itself, and the experts' work of the
 most loaded rank, set by set, which is *skew* times the mean. A stream waits for a slot
 while all are taken. It is in time if its first event comes within the latency target,
-counted from its caller's first attempt, and no inter-event gap is longer than allowed.
-A caller that is refused retries once, after its Retry-After, and is lost if it is
-refused again.
+counted from its caller's first attempt, and no inter-event gap is longer than allowed;
+otherwise it is late. A caller that is refused retries once, after its Retry-After, and
+is lost if it is refused again.
 """
 
 import collections
@@ -24,8 +24,8 @@
 BUSIEST_LOAD = 1.2
 EXPERT_SHARE = 0.85
 # The score of a late stream, and of a caller refused twice; one in time scores 1.
-LATE = 0.25
-REFUSED_TWICE = -0.3
+LATE_SCORE = 0.25
+REFUSED_TWICE_SCORE = -0.3
 WINDOW_MS = 2000
 # A caller's timeout, and the time step of the model while the group is stalled.
 TIMEOUT_MS = 8000
@@ -152,7 +152,10 @@
     @property
     def score(self):
         """The mean score of a caller."""
-        late, lost = LATE * self.total("late"), REFUSED_TWICE * self.total("lost")
+        late, lost = (
+            LATE_SCORE * self.total("late"),
+            REFUSED_TWICE_SCORE * self.total("lost"),
+        )
         return (self.total("in_time") + late + lost) / self.callers
 
     def share_in_time(self, window):
--- a/dunlinpoint/routing/tests/test_latency.py
+++ b/dunlinpoint/routing/tests/test_latency.py
@@ -16,7 +16,7 @@
 STALLED_MS = 4_000, 10_600
 # Windows of a caller's first attempt: while the group is stalled, and once it is open.
 FIRST, STALLED, OPEN = 2, range(2, 5), range(6, 9)
-LATE = 0.5
+LATE_SCORE = 0.5
 SEEDS = range(1, 4)
 ALL_SLOTS = 99
 
@@ -26,7 +26,7 @@
     return 3.0 if STALLED_MS[1] <= now < STALLED_MS[1] + 400 else 1.6
 
 
-def simulate(per_s=110, **how):
+def simulate(per_s=110, **options):
     """Outcomes of the callers of all seeds, by the window of their first attempt."""
     outcomes = collections.defaultdict(collections.Counter)
     for seed in SEEDS:
@@ -39,7 +39,7 @@
             seed=seed,
             engine=overload.THREE_ZONES,
             stalled_ms=STALLED_MS,
-            **how,
+            **options,
         )
         for window, counts in overload.simulate(load).by_window.items():
             outcomes[window] += counts
@@ -49,7 +49,7 @@
 def score(outcomes, windows):
     """The mean score of the callers of *windows*."""
     counts = sum((outcomes[window] for window in windows), collections.Counter())
-    return (counts["in_time"] + LATE * counts["late"]) / counts.total()
+    return (counts["in_time"] + LATE_SCORE * counts["late"]) / counts.total()
 
 
 def test_waiting_at_each_attempt_serves_callers_that_arrive_during_a_stall():
--- a/dunlinpoint/routing/tests/test_overload.py
+++ b/dunlinpoint/routing/tests/test_overload.py
@@ -36,7 +36,7 @@
     return 3.2 if LOST_MS < now < NEW_LEADER_MS else jumps(now)
 
 
-def simulate(per_s, skew, **how):
+def simulate(per_s, skew, **options):
     """The results of all seeds at *per_s* arrivals a second."""
     loads = [
         overload.Load(
@@ -49,7 +49,7 @@
         )
         for seed in SEEDS
     ]
-    return [overload.simulate(load, **how) for load in loads]
+    return [overload.simulate(load, **options) for load in loads]
 
 
 def in_time_after(results):
--- a/dunlinpoint/routing/tests/test_pick.py
+++ b/dunlinpoint/routing/tests/test_pick.py
@@ -111,8 +111,8 @@
     assert known.position_by_entry is before
 
 
-# The limit of the most requests of a run at one rank, over the mean.
-MOST = 1.4
+# Upper limit of the requests that one rank gets in a run, over the mean of the ranks.
+MAX_SENT_RATIO = 1.4
 # A deployment of today's size, a grown one, and one with as many entries as the design
 # allows for; arrivals fill about three quarters of the ranks' slots.
 GROUPS = [
@@ -130,7 +130,7 @@
     assert found.busiest <= busiest
     assert found.busiest <= before.busiest
     assert found.busiest < model.simulate(group, model.same).busiest
-    assert found.most <= MOST
+    assert found.most <= MAX_SENT_RATIO
 
 
 def test_a_zone_with_few_ranks_of_a_group_does_not_overload_them():
--- a/dunlinpoint/suspects/sharing.py
+++ b/dunlinpoint/suspects/sharing.py
@@ -61,8 +61,8 @@
             sent = self.pending
             messages = [report.to_message(self.clock.now()) for report in sent]
             calls = [
-                follow.link.call("report", messages)
-                for follow in self.view.controls.followed_by_address.values()
+                followed.link.call("report", messages)
+                for followed in self.view.controls.followed_by_address.values()
             ]
             results = yield defer.DeferredList(calls, consumeErrors=True)
             for ok, failure in results:
--- a/dunlinpoint/suspects/tests/test_sharing.py
+++ b/dunlinpoint/suspects/tests/test_sharing.py
@@ -12,18 +12,18 @@
 class Link:
     """A control that accepts reports, or is unreachable."""
 
-    reached: bool = True
-    taken: list = attrs.field(factory=list)
+    is_reachable: bool = True
+    accepted: list = attrs.field(factory=list)
 
     def call(self, _method, reports):
-        if not self.reached:
+        if not self.is_reachable:
             return defer.fail(errors.OutcomeUnknown("h:1"))
-        self.taken += [(report.life, report.age_ms) for report in reports]
+        self.accepted += [(report.life, report.age_ms) for report in reports]
         return defer.succeed(None)
 
 
 @attrs.define
-class Follow:
+class Followed:
     link: Link
 
 
@@ -39,7 +39,7 @@
 
 def entry(*links):
     reactor = task.Clock()
-    controls = Controls({n: Follow(link) for n, link in enumerate(links)})
+    controls = Controls({n: Followed(link) for n, link in enumerate(links)})
     return reactor, sharing.Sharing(View(controls), clock.Clock(reactor))
 
 
@@ -48,30 +48,30 @@
 
 
 def test_every_reachable_control_gets_the_reports():
-    near, away, cut = Link(), Link(), Link(reached=False)
-    _, found = entry(near, away, cut)
+    first, second, unreachable = Link(), Link(), Link(is_reachable=False)
+    _, found = entry(first, second, unreachable)
     found.publish([report("a")])
-    assert near.taken == away.taken == [("a", 0)]
+    assert first.accepted == second.accepted == [("a", 0)]
     assert found.pending == []
 
 
 def test_pending_reports_keep_their_time():
     # No control is reachable from the entry when an endpoint crashes, and another
     # endpoint crashes before one is reachable again.
-    link = Link(reached=False)
+    link = Link(is_reachable=False)
     reactor, found = entry(link)
     found.publish([report("a")])
     reactor.advance(0.2)
     found.publish([report("b", 200)])
-    link.reached = True
+    link.is_reachable = True
     reactor.advance(sharing.RETRY_MS / 1000 - 0.2)
-    assert link.taken == [("a", 500), ("b", 300)]
+    assert link.accepted == [("a", 500), ("b", 300)]
     assert found.pending == [] and not found.is_sending
 
 
 def test_pending_reports_are_bounded(monkeypatch):
     monkeypatch.setattr(sharing, "MAX_PENDING", 3)
-    _, found = entry(Link(reached=False))
+    _, found = entry(Link(is_reachable=False))
     for incarnation in "abcde":
         found.publish([report(incarnation)])
     assert [pending.incarnation for pending in found.pending] == ["c", "d", "e"]
