--- a/dunlinpoint/routing/tests/model.py
+++ b/dunlinpoint/routing/tests/model.py
@@ -15,7 +15,7 @@
 from dunlinpoint.routing import endpoint_order, pick
 from dunlinpoint.wire.gen.dunlin import ttypes
 
-WARM_S = 5.0
+WARM_UP_S = 5.0
 ZONES = 3
 
 
@@ -49,7 +49,7 @@
     """How evenly one run loaded the ranks.
 
     *busiest* is the load of the busiest rank over the mean load, averaged over the run,
-    and *most* the same ratio for the requests sent in the whole run; *crowded* is the
+    and *most* the same ratio for the requests sent in the whole run; *overfull* is the
     fraction of requests sent to a rank without a free slot.
     """
 
@@ -58,7 +58,7 @@
     overfull: float
 
 
-def play(group, order):
+def simulate(group, order):
     """Simulate *group* with entries that prefer ranks by *order*.
 
     ``order(members, entry, rng)`` returns the list that an :class:`Entry` picks from.
@@ -83,7 +83,7 @@
         total[chosen] += 1
         end = now + group.mean_s * rng.uniform(0.3, 1.7)
         heapq.heappush(ends, (end, len(ends) + rng.random(), entry, chosen))
-        if now > WARM_S:
+        if now > WARM_UP_S:
             ratios.append(max(total.values()) * group.ranks / sum(total.values()))
             overfull += total[chosen] > group.slots
             sent[chosen] += 1
--- a/dunlinpoint/routing/tests/overload.py
+++ b/dunlinpoint/routing/tests/overload.py
@@ -4,9 +4,9 @@
 published figures: the work of the busiest rank by itself, and the experts' work of the
 most loaded rank, set by set, which is *skew* times the mean. A stream waits for a slot
 while all are taken. It is in time if its first event comes within the latency target,
-counted from its caller's first attempt, and no inter-event gap is longer than allowed.
-A caller that is refused retries once, after its Retry-After, and is lost if it is
-refused again.
+counted from its caller's first attempt, and no inter-event gap is longer than allowed;
+otherwise it is late. A caller that is refused retries once, after its Retry-After, and
+is lost if it is refused again.
 """
 
 import collections
@@ -24,8 +24,8 @@
 BUSIEST_LOAD = 1.2
 EXPERT_SHARE = 0.85
 # The score of a late stream, and of a caller refused twice; one in time scores 1.
-LATE = 0.25
-REFUSED_TWICE = -0.3
+LATE_SCORE = 0.25
+REFUSED_TWICE_SCORE = -0.3
 WINDOW_MS = 2000
 # A caller's timeout, and the time step of the model while the group is stalled.
 TIMEOUT_MS = 8000
@@ -113,7 +113,7 @@
     engine: Engine = SMALL
     stalled_ms: tuple | None = None
     refuses_first_attempts: bool = False
-    late_slots_fraction: float = latency.LATE_SLOTS_FRACTION
+    late_slots_fraction: float = latency.PAST_TARGET_SLOTS_FRACTION
     late_served_last: bool = True
 
     def is_stalled(self, now):
@@ -152,7 +152,10 @@
     @property
     def score(self):
         """The mean score of a caller."""
-        late, lost = LATE * self.total("late"), REFUSED_TWICE * self.total("lost")
+        late, lost = (
+            LATE_SCORE * self.total("late"),
+            REFUSED_TWICE_SCORE * self.total("lost"),
+        )
         return (self.total("in_time") + late + lost) / self.callers
 
     def share_in_time(self, window):
@@ -174,7 +177,7 @@
     is_past_latency_target: bool = False
     last_ms: float | None = None
     attempt_ms: float = 0.0
-    turn: tuple | None = None
+    queue_key: tuple | None = None
     is_queued: bool = False
 
     def __attrs_post_init__(self):
@@ -231,20 +234,20 @@
             return False
         if not stream.is_queued:
             return True
-        if stream.turn is None:
+        if stream.queue_key is None:
             until_ms = stream.gives_up_ms(engine)
-            stream.turn = not stream.is_retry, until_ms, id(stream)
-            self.queue.enter(stream.turn)
+            stream.queue_key = not stream.is_retry, until_ms, id(stream)
+            self.queue.enter(stream.queue_key)
         return (
-            self.queue.ahead_of(stream.turn) + 1
+            self.queue.ahead_of(stream.queue_key) + 1
             <= entry_slots - self.controller.in_flight
         )
 
     def leave(self, stream):
         """Remove *stream* from the queue."""
-        if stream.turn is not None:
-            self.queue.leave(stream.turn)
-            stream.turn = None
+        if stream.queue_key is not None:
+            self.queue.leave(stream.queue_key)
+            stream.queue_key = None
 
 
 def waits(load, stream, now):
@@ -254,12 +257,12 @@
     return now < stream.gives_up_ms(load.engine)
 
 
-def play(load, make_pace=admission_control.AdmissionController):
-    """Simulate *load* with entries that admit by ``make_pace(max_gap_ms)``."""
+def simulate(load, make_controller=admission_control.AdmissionController):
+    """Simulate *load* with entries that admit by ``make_controller(max_gap_ms)``."""
     engine = load.engine
     rng = random.Random(load.seed)
     weights = [rng.uniform(0.5, 1.5) for _ in range(load.entries)]
-    entries = [Entry(make_pace(engine.max_gap_ms)) for _ in range(load.entries)]
+    entries = [Entry(make_controller(engine.max_gap_ms)) for _ in range(load.entries)]
     entry_slots = load.late_slots_fraction * engine.slots * load.ranks / load.entries
     result, now = Result(), 0.0
     running, queued, coming = [], [], []
@@ -333,7 +336,11 @@
         wait_ms = outage.outage_retry_after_ms(load.stalled_ms[0], at, left_ms, rng)
     else:
         wait_ms = rng.uniform(
-            *(capacity.OVERLOAD_RETRY_MS if is_overload else capacity.RETRY_MS)
+            *(
+                capacity.OVERLOAD_RETRY_AFTER_RANGE_MS
+                if is_overload
+                else capacity.RETRY_AFTER_RANGE_MS
+            )
         )
     caller.attempt_ms = at + min(wait_ms, outage.max_retry_after_ms(left_ms))
     return caller.attempt_ms
