--- a/dunlinpoint/agent/calls.py
+++ b/dunlinpoint/agent/calls.py
@@ -32,8 +32,8 @@
 def forward(state, order):
     """Send one call to the local service; fires with a ``CallResult``.
 
-    The outcome is ``not_run`` only if the connection was refused, so that the
-    service cannot have seen the call. After any failure at which the request may
+    The outcome is ``not_run`` only if the connection was refused, as the service
+    cannot have seen the call then. After any failure at which the request may
     have been written it is ``unknown``, since the service may have executed it.
     """
     url = f"{state.settings.backend}/call/{order.operation}"
@@ -92,7 +92,7 @@
 def record_outcome(state, order, key_state, status=0, body_json=""):
     """Record the outcome of a call here and at the key's backup agent.
 
-    *became* is the new state of the key; an empty one releases it. The backup's
+    *key_state* is the new state of the key; an empty one releases it. The backup's
     reply isn't awaited; a failure is only counted (``settle_lost``).
     """
     state.keys.record_outcome(order.idempotency_key, key_state, status, body_json)
--- a/dunlinpoint/agent/keys.py
+++ b/dunlinpoint/agent/keys.py
@@ -3,8 +3,8 @@
 A key is ``running`` from the time the agent forwards the call until the
 service answers, then ``done`` with the answer, which is kept for replay. If the
 service's answer was lost, the key is ``unknown`` for as long as the process
-runs: a second execution could book an antenna twice, so the call is never
-forwarded again and the caller is told to look up the outcome.
+runs: a second execution could, for example, book an antenna slot twice, so the
+call is never forwarded again and the caller is told to look up the outcome.
 
 The table is in memory. To survive the loss of its owner, a key is replicated:
 before the owner forwards the call, it claims the key at a backup agent, the next
--- a/dunlinpoint/agent/rebalance.py
+++ b/dunlinpoint/agent/rebalance.py
@@ -10,8 +10,9 @@
   memory allows).
 - :func:`decide` compares the rank time that a new map would save over
   ``HORIZON_S`` seconds with the cost of the experts it moves, weighted by the
-  group's ``skew_weight`` from the document (Hoshizora near 1, Port Dues
-  lower), and returns the new map only if its benefit exceeds its cost.
+  group's ``skew_weight`` from the document (near 1 for the deployment
+  ``hoshizora``, lower for ``port-dues``), and returns the new map only if its
+  benefit exceeds its cost.
 
 Both are pure functions over lists: expert loads ``[int]`` by expert,
 placements ``[rank]`` by expert.
--- a/dunlinpoint/agent/rebalance_loop.py
+++ b/dunlinpoint/agent/rebalance_loop.py
@@ -15,6 +15,7 @@
 log = logs.logger("agent")
 
 REBALANCE_MS = 1000
+# Distance between the fencing numbers of consecutive incarnations at one map version.
 FENCE_STRIDE = 1_000_000
 DEFAULT_SKEW_WEIGHT = 0.5
 
--- a/dunlinpoint/agent/server.py
+++ b/dunlinpoint/agent/server.py
@@ -211,8 +211,8 @@
 
     Without this, a dropped engine connection would truncate the caller's
     response. Engine streams can be resumed from an offset, so the agent requests
-    the rest up to ``RESUME_ATTEMPTS`` times in all before it ends the stream with an
-    error.
+    the remaining tokens again. It sends up to ``RESUME_ATTEMPTS`` requests in all
+    before it ends the stream with an error.
     """
 
     @defer.inlineCallbacks
@@ -333,8 +333,8 @@
     state.stopping = True
     log.info("draining", in_flight=state.load())
     yield heartbeat(state)
-    deadline = state.clock.now() + state.settings.drain_timeout_ms
-    while state.load() and state.clock.now() < deadline:
+    deadline_ms = state.clock.now() + state.settings.drain_timeout_ms
+    while state.load() and state.clock.now() < deadline_ms:
         yield task.deferLater(reactor, 0.05, lambda: None)
     # The entry may have read all tokens of a response but not its end. If the agent
     # exited now, the entry would have 300 of 300 tokens and an unknown outcome.
--- a/dunlinpoint/agent/tests/test_rebalance.py
+++ b/dunlinpoint/agent/tests/test_rebalance.py
@@ -18,8 +18,8 @@
 
 
 def test_cost_weighted_group_tolerates_small_skew():
-    # Guards against a rebalance during the morning rush for a few tokens of skew,
-    # decided on the skew alone without the cost of moving experts.
+    # Guards against a rebalance at peak load (the morning rush) for a few tokens of
+    # skew, decided on the skew alone without the cost of moving experts.
     loads = [12, 10] + [10] * 14
     blocks = [e // 4 for e in range(16)]
     assert rebalance.decide(loads, blocks, 4, 0.3) is None
--- a/dunlinpoint/cli/ctl.py
+++ b/dunlinpoint/cli/ctl.py
@@ -161,7 +161,7 @@
 
 
 def endpoints(view):
-    """The members of the ``View`` *shown* that are endpoints."""
+    """The members of *view*, a ``View``, that are endpoints."""
     return [m for m in view.members if m.kind != discovery.KIND]
 
 
@@ -316,7 +316,7 @@
 
     def __call__(self):
         try:
-            self.name = bytes.fromhex(self.digest)
+            self.digest_bytes = bytes.fromhex(self.digest)
         except ValueError:
             raise checks.SettingError(f"digest: {self.digest!r} is not hex") from None
         run_on_reactor(self.lift)
@@ -327,7 +327,9 @@
         notified = 0
         for link in links(reactor, self.controls):
             try:
-                yield link.call("report", [ttypes.CrashReport(self.name, "", 0)])
+                yield link.call(
+                    "report", [ttypes.CrashReport(self.digest_bytes, "", 0)]
+                )
             except errors.WireError as exc:
                 print(json.dumps({"control": link.address, "error": str(exc)}))
             else:
--- a/dunlinpoint/cli/daemon.py
+++ b/dunlinpoint/cli/daemon.py
@@ -27,7 +27,7 @@
 from dunlinpoint.standins import service as service_standin
 from dunlinpoint.standins import weights as weights_standin
 
-ENTRY_DRAIN_MS = 30000
+ENTRY_DRAIN_TIMEOUT_MS = 30000
 
 
 def listen_http(port, host, web):
@@ -36,12 +36,12 @@
 
 
 @defer.inlineCallbacks
-def wait_idle(busy, deadline_ms):
-    """Wait until ``busy()`` is 0, but not longer than *deadline_ms*."""
-    waited = 0
-    while busy() and waited < deadline_ms:
+def wait_idle(in_flight, timeout_ms):
+    """Wait until ``in_flight()`` is 0, but not longer than *timeout_ms*."""
+    waited_ms = 0
+    while in_flight() and waited_ms < timeout_ms:
         yield task.deferLater(reactor, 0.05, lambda: None)
-        waited += 50
+        waited_ms += 50
 
 
 @dataclass
@@ -74,8 +74,8 @@
         @defer.inlineCallbacks
         def stop():
             entry.lifecycle.close()
-            deadline_ms = entry.clock.now() + ENTRY_DRAIN_MS
-            yield wait_idle(lambda: entry.in_flight, ENTRY_DRAIN_MS)
+            deadline_ms = entry.clock.now() + ENTRY_DRAIN_TIMEOUT_MS
+            yield wait_idle(lambda: entry.in_flight, ENTRY_DRAIN_TIMEOUT_MS)
             yield site.close_all(entry.clock, deadline_ms)
 
         reactor.addSystemEventTrigger("before", "shutdown", stop)
--- a/dunlinpoint/cli/explain.py
+++ b/dunlinpoint/cli/explain.py
@@ -70,12 +70,12 @@
     own = [line for line in lines if line.fields.get("request") == request_id]
     if not own:
         return []
-    first, last = own[0].at_s - LOOKBACK_S, own[-1].at_s
+    first_s, last_s = own[0].at_s - LOOKBACK_S, own[-1].at_s
     tried = {line.fields.get("endpoint_id") for line in own}
     return [
         line
         for line in lines
-        if line in own or (first <= line.at_s <= last and _is_relevant(line, tried))
+        if line in own or (first_s <= line.at_s <= last_s and _is_relevant(line, tried))
     ]
 
 
--- a/dunlinpoint/platform/endpoint_signals.py
+++ b/dunlinpoint/platform/endpoint_signals.py
@@ -26,7 +26,7 @@
 def _read_number(headers, name):
     """``(number, readable)`` of header *name*; *number* is ``None`` if there is none.
 
-    *readable* is ``False`` if the header is present but is no valid number.
+    *readable* is ``False`` if the header is present but not a valid number.
     """
     value = headers.getRawHeaders(name, [None])[-1]
     if value is None:
--- a/dunlinpoint/platform/fields.py
+++ b/dunlinpoint/platform/fields.py
@@ -48,7 +48,7 @@
 
 
 def whole_number(value, field, minimum=0, maximum=MAX_I64):
-    """*value* if it is an ``int`` from *least* to *most*."""
+    """*value* if it is an ``int`` from *minimum* to *maximum*."""
     if isinstance(value, bool) or not isinstance(value, int):
         raise FieldError(field)
     if not minimum <= value <= maximum:
--- a/dunlinpoint/wire/rpc.py
+++ b/dunlinpoint/wire/rpc.py
@@ -135,8 +135,8 @@
         """Time out after the answers that have already arrived have been read.
 
         In a process that was busy for longer than the timeout, timers run before
-        connections are read. It took 70 ranks for unresponsive although their
-        answers had arrived, and called each of their engines instead.
+        connections are read. Such a process considered 70 ranks unresponsive
+        although their answers had arrived, and called each of their engines instead.
         """
         self.reactor.callLater(0, self._fail_unanswered, outer, answers_before, exc)
 
--- a/dunlinpoint/wire/tests/test_rpc.py
+++ b/dunlinpoint/wire/tests/test_rpc.py
@@ -12,9 +12,9 @@
 
 
 def test_an_internal_error_of_a_peer_is_a_wire_error():
-    # Failure: an agent drops out of the membership for good, because control answers
-    # one heartbeat with an internal error and the thrift library's own error, passed
-    # through unchanged, ends the agent's heartbeat loop.
+    # Guards against an agent that drops out of the membership for good: control
+    # answers one heartbeat with an internal error, and the thrift library's own error,
+    # passed through unchanged, ends the agent's heartbeat loop.
     link = rpc.Link(task.Clock(), "127.0.0.1", 1, None, 1000)
     link._connect = lambda: defer.succeed(FailingClient())
     failures = []
@@ -43,10 +43,11 @@
 
 
 def test_an_answer_that_arrived_but_is_unread_is_not_timed_out():
-    # Failure: a group leader takes 70 ranks for unresponsive at once and calls each
-    # one's engine, and a map switch takes 2.8 s. The process is busy for longer than
-    # the timeout while answers arrive; then timers run before connections are read,
-    # so a call that fails directly in its timer ignores an answer that has arrived.
+    # Guards against a group leader that considers 70 ranks unresponsive at once and
+    # calls each one's engine, so that a map switch takes 2.8 s. The process is busy
+    # for longer than the timeout while answers arrive; then timers run before
+    # connections are read, so a call that fails directly in its timer ignores an
+    # answer that has arrived.
     reactor, answer, results = Reactor(), defer.Deferred(), []
     link = rpc.Link(reactor, "127.0.0.1", 1, None, 250)
 
