--- a/dunlinpoint/lab/deploy.py
+++ b/dunlinpoint/lab/deploy.py
@@ -22,8 +22,8 @@
 
 
 # Below the kernel's range of ephemeral ports. A port in that range could be taken by
-# another process between its choice here and the listen call: the listening process
-# then exited, while the port answered for the other one.
+# another process between its choice here and the listen call: the process to start
+# then exited, while the other one answered on its port.
 MIN_PORT, MAX_PORT = 20_000, 32_000
 _ports = itertools.count(os.getpid() * 61)
 
--- a/dunlinpoint/lab/load.py
+++ b/dunlinpoint/lab/load.py
@@ -1,9 +1,10 @@
 """The load and experiment tool: runs a local deployment under load and reports.
 
 ``python -m dunlinpoint.lab.load [--profile NAME] [--requests N]`` starts the named
-profile's processes on loopback. It sends model requests whose expert topics drift
-(Hoshizora's pass windows, the Port Dues morning rush) and plain-service calls, and
-applies a new document through ``dunlinctl``. It prints one JSON summary: requests
+profile's processes on loopback. It sends model requests whose expert topics drift as
+in the profile (``pass_windows``, Hoshizora's load: four topics one after another;
+``morning_rush``, the load of Port Dues: one change halfway) and plain-service calls,
+and applies a new document through ``dunlinctl``. It prints one JSON summary: requests
 with a complete answer of their own, latency percentiles (HDR histogram), step-time
 skew, duplicated executions, and the seconds until the new document was in force on
 all processes.
--- a/dunlinpoint/soak/callers.py
+++ b/dunlinpoint/soak/callers.py
@@ -17,7 +17,7 @@
 CALLERS = 6
 THINK_TIME_S = (0.01, 0.15)
 DEADLINE_MS = 3000
-# Times the operator sends a document to each control until one acknowledges it.
+# The most times that the operator sends one document to each control.
 SEND_ATTEMPTS = 20
 RESEND_INTERVAL_S = 0.2
 PATH_PREFIXES = ("/once/", "/often/", "/stream/")
@@ -161,13 +161,13 @@
                 "name": path_prefix.strip("/"),
                 "host": cluster.HOST,
                 "pathPrefix": path_prefix,
-                "routeKind": routed,
+                "routeKind": route_kind,
                 "timeoutMs": DEADLINE_MS,
                 "service": "desk",
                 "maxAttempts": 2,
-                "resumable": routed == "streaming",
+                "resumable": route_kind == "streaming",
             }
-            for path_prefix, routed in zip(
+            for path_prefix, route_kind in zip(
                 PATH_PREFIXES,
                 ("non_idempotent", "idempotent", "streaming"),
                 strict=True,
--- a/dunlinpoint/soak/faults.py
+++ b/dunlinpoint/soak/faults.py
@@ -54,18 +54,18 @@
 def schedule(seed):
     """The faults of *seed*, ordered by start time."""
     rng = random.Random(f"faults {seed}")
-    faults, now, next_disk_fault_s = [], 1.0, 0.0
-    while now < SCHEDULE_LENGTH_S:
+    faults, at_s, next_disk_fault_s = [], 1.0, 0.0
+    while at_s < SCHEDULE_LENGTH_S:
         kind = rng.choices(list(KIND_WEIGHTS), KIND_WEIGHTS.values())[0]
         duration_s = rng.uniform(*FAULT_DURATION_S)
         if kind in DISK_KINDS:
-            if now < next_disk_fault_s:
+            if at_s < next_disk_fault_s:
                 kind = "change"
             else:
                 # Leaves the control time to restart and become a voter again.
-                next_disk_fault_s = now + duration_s + 4.0
-        faults.append(Fault(now, kind, rng.randrange(64), duration_s))
-        now += rng.uniform(*FAULT_INTERVAL_S)
+                next_disk_fault_s = at_s + duration_s + 4.0
+        faults.append(Fault(at_s, kind, rng.randrange(64), duration_s))
+        at_s += rng.uniform(*FAULT_INTERVAL_S)
     return faults
 
 
--- a/dunlinpoint/soak/run.py
+++ b/dunlinpoint/soak/run.py
@@ -137,7 +137,7 @@
 def run_schedule(cluster, operator, planned):
     """Inject and heal the *planned* faults, each at its time."""
     start_s = time.monotonic()
-    active_faults, faulted_targets, reads_s = [], set(), 0.0
+    active_faults, faulted_targets, next_read_s = [], set(), 0.0
     planned = list(planned)
     while planned or active_faults:
         now_s = time.monotonic() - start_s
@@ -155,8 +155,8 @@
                 active_faults.append((now_s + fault.duration_s, heal, target))
                 faulted_targets.add(target)
         restart_exited(cluster, faulted_targets)
-        if now_s >= reads_s:
-            reads_s = now_s + READ_INTERVAL_S
+        if now_s >= next_read_s:
+            next_read_s = now_s + READ_INTERVAL_S
             threading.Thread(target=operator.read, daemon=True).start()
         time.sleep(0.02)
 
--- a/dunlinpoint/standins/engine.py
+++ b/dunlinpoint/standins/engine.py
@@ -36,7 +36,7 @@
 from dunlinpoint import clock
 
 BASE_STEP_MS = 6
-TOKEN_US = 150
+TOKEN_COST_US = 150
 PREFILL_US_PER_CHAR = 20
 PREFIX_CHARS = 32
 STEP_LOG_ENTRIES = 20000
@@ -53,7 +53,7 @@
     cache_entries: int = 64
     load_lag_ms: int = 500
     event_delay_ms: int = 300
-    event_gap_every: int = 7
+    event_drop_interval: int = 7
     honours_fence: bool = True
     seed: int = 1
 
@@ -181,8 +181,9 @@
         """Execute an engine command; ``(ok, reason)``.
 
         An engine that honours fencing refuses a command whose ``fence`` is
-        below the highest it has seen: a deposed control instance could
-        otherwise undo a newer decision. One that ignores fencing executes it.
+        below the highest it has seen: a control instance that has been
+        replaced could otherwise undo a newer decision. One that ignores fencing
+        executes it.
         """
         fence = int(command.get("fence", 0))
         if self.settings.honours_fence and fence < self.highest_fence:
@@ -235,7 +236,9 @@
             per_rank[self.placement[expert]] += 1
             per_expert[expert] += 1
             seq.tokens.append(token_of(seq.prompt, index))
-        rank_ms = [BASE_STEP_MS + (n * TOKEN_US + prefill_us) / 1000 for n in per_rank]
+        rank_ms = [
+            BASE_STEP_MS + (n * TOKEN_COST_US + prefill_us) / 1000 for n in per_rank
+        ]
         self.step += 1
         for rank, ms in enumerate(rank_ms):
             self.step_log.append((self.step, rank, self.map_version, ms))
@@ -260,8 +263,8 @@
     def _event(self, kind, prefix):
         self.event_seq += 1
         # Real engines lose some events, so consumers must treat the stream as an
-        # incomplete hint. Here every event_gap_every-th event is dropped.
-        if self.event_seq % self.settings.event_gap_every == 0:
+        # incomplete hint. Here one event in ``event_drop_interval`` is dropped.
+        if self.event_seq % self.settings.event_drop_interval == 0:
             return
         self.events.append((self.clock.now(), self.event_seq, kind, prefix))
 
@@ -285,15 +288,15 @@
         time; ``per_rank`` counts the tokens of the last step by rank; ``batch`` is
         the size of its batch.
         """
-        cutoff = self.clock.now() - self.settings.load_lag_ms
-        window = cutoff - LOAD_WINDOW_MS
+        cutoff_ms = self.clock.now() - self.settings.load_lag_ms
+        window_start_ms = cutoff_ms - LOAD_WINDOW_MS
         report = {"at": None, "batch": 0, "per_rank": [0] * self.settings.ranks}
         per_expert = [0] * self.settings.experts
         for at, batch, per_rank, experts in self.load_history:
-            if at > cutoff:
+            if at > cutoff_ms:
                 break
             report = {"at": at, "batch": batch, "per_rank": per_rank}
-            if at > window:
+            if at > window_start_ms:
                 per_expert = [a + b for a, b in zip(per_expert, experts, strict=True)]
         report["per_expert"] = per_expert
         report["map_version"] = self.map_version
@@ -302,11 +305,11 @@
 
     def published_events(self, since):
         """Cache events after *since* that are at least ``event_delay_ms`` old."""
-        cutoff = self.clock.now() - self.settings.event_delay_ms
+        cutoff_ms = self.clock.now() - self.settings.event_delay_ms
         return [
             {"seq": seq, "kind": kind, "prefix": prefix}
             for at, seq, kind, prefix in self.events
-            if seq > since and at <= cutoff
+            if seq > since and at <= cutoff_ms
         ]
 
     def step_report(self):
