--- a/dunlinpoint/clock.py
+++ b/dunlinpoint/clock.py
@@ -26,8 +26,8 @@
     stop, and requests pass their deadlines unanswered. When it is set forward,
     every lease expires at once. The monotonic clock doesn't have this fault, but
     it stops while the machine is suspended: an entry that was suspended while a
-    key was revoked resumed with an almost unaged lease, and a leader resumed with
-    a view of its ranks that looked recent. The boot-time clock has neither fault.
+    key was revoked resumed with a lease that had hardly aged, and a leader resumed
+    with a view of its ranks that looked recent. The boot-time clock has neither fault.
     """
     reactor.seconds = since_boot
 
--- a/dunlinpoint/logs.py
+++ b/dunlinpoint/logs.py
@@ -24,8 +24,8 @@
 import attrs
 import logbook
 
-# Lines per second of one event. A successful request writes one line; an entry
-# gets 6 requests per second today and 260 in the largest planned deployment. At
+# Lines per second of one event. A successful request writes one line; an entry gets
+# 6 requests per second in current deployments and 260 in the largest planned one. At
 # 30 microseconds per line, the limits cost 0.2 % and 0.6 % of a core.
 INFO_PER_S = 60
 FAILURE_PER_S = 200
--- a/dunlinpoint/tests/test_logs.py
+++ b/dunlinpoint/tests/test_logs.py
@@ -18,7 +18,8 @@
 
 
 def test_a_flood_of_lines_is_limited_and_the_omitted_are_counted(monkeypatch):
-    # Ten times today's load, most of it refused, in one second.
+    # An overload: 500 requests are answered and 500 refused within one second, which
+    # exceeds both limits.
     reader, writer = os.pipe()
     seconds = [100.0]
     monkeypatch.setattr(logs.time, "monotonic", lambda: seconds[0])
