--- a/dunlinpoint/lab/client.py
+++ b/dunlinpoint/lab/client.py
@@ -68,7 +68,7 @@
     return post(port, f"/v1/call/{operation}", body, {"idempotency-key": key})
 
 
-def fault(proxy_port, mode, direction="both", delay_ms=0):
-    """Set the fault of the proxy whose HTTP interface listens on *proxy_port*."""
+def fault(fault_port, mode, direction="both", delay_ms=0):
+    """Set the fault of the proxy whose HTTP interface listens on *fault_port*."""
     body = {"mode": mode, "direction": direction, "delay_ms": delay_ms}
-    return post(proxy_port, "/fault", body).final
+    return post(fault_port, "/fault", body).final
--- a/dunlinpoint/lab/deploy.py
+++ b/dunlinpoint/lab/deploy.py
@@ -156,15 +156,15 @@
         if kind == "engine":
             argv += ["--weights", profile["weights"]]
         if profile.get("proxied"):
-            listen, steer = free_port(), free_port()
+            listen_port, fault_port = free_port(), free_port()
             self.add(
                 f"proxy-{name}",
-                steer,
-                ["proxy", "--listen", str(listen), "--steer", str(steer)]
+                fault_port,
+                ["proxy", "--listen", str(listen_port), "--steer", str(fault_port)]
                 + ["--target", f"127.0.0.1:{port}"],
             )
-            self.steer_by_agent[f"agent-{name}"] = steer
-            argv += ["--announce", f"127.0.0.1:{listen}"]
+            self.steer_by_agent[f"agent-{name}"] = fault_port
+            argv += ["--announce", f"127.0.0.1:{listen_port}"]
         self.add(f"agent-{name}", port, argv)
 
     def start(self):
@@ -175,9 +175,9 @@
         for process in self.by_name.values():
             process.start()
         self.wait_listening(self.by_name.values())
-        deadline = time.monotonic() + READY_TIMEOUT_S
+        deadline_s = time.monotonic() + READY_TIMEOUT_S
         while not self.settled(self.controls):
-            if time.monotonic() > deadline:
+            if time.monotonic() > deadline_s:
                 raise RuntimeError("controls do not vote within the ready timeout")
 
     def settled(self, controls):
@@ -193,12 +193,12 @@
         return len(lines) == len(controls) and all(x.get("settled") for x in lines)
 
     def wait_listening(self, processes):
-        deadline = time.monotonic() + READY_TIMEOUT_S
+        deadline_s = time.monotonic() + READY_TIMEOUT_S
         for process in processes:
             while not listening(process.port):
                 if process.popen.poll() is not None:
                     raise RuntimeError(f"{process.name} exited: see {process.log_path}")
-                if time.monotonic() > deadline:
+                if time.monotonic() > deadline_s:
                     raise RuntimeError(f"{process.name} is not listening")
                 time.sleep(0.05)
             if process.popen.poll() is not None:
--- a/dunlinpoint/lab/load.py
+++ b/dunlinpoint/lab/load.py
@@ -154,8 +154,8 @@
     """
     agents = sum(1 for name in deployment.by_name if name.startswith("agent-"))
     ports = [p for ps in deployment.entries_by_zone.values() for p in ps]
-    deadline = time.monotonic() + timeout_s
-    while time.monotonic() < deadline:
+    deadline_s = time.monotonic() + timeout_s
+    while time.monotonic() < deadline_s:
         if all(client.get(p, "/v1/status")["members"] >= agents for p in ports):
             return
         time.sleep(0.05)
--- a/dunlinpoint/soak/cluster.py
+++ b/dunlinpoint/soak/cluster.py
@@ -154,14 +154,14 @@
             server_id, "desk", rng, self.executions, arrivals=self.arrivals
         )
         backend.start()
-        listen, steer = deploy.free_port(), deploy.free_port()
+        listen_port, fault_port = deploy.free_port(), deploy.free_port()
         log = os.path.join(self.folder, f"proxy-{server_id}.log")
-        argv = ["proxy", "--listen", str(listen), "--steer", str(steer)]
+        argv = ["proxy", "--listen", str(listen_port), "--steer", str(fault_port)]
         argv += ["--target", f"127.0.0.1:{backend.port}"]
-        proxy = deploy.Process(f"proxy-{server_id}", argv, listen, log)
+        proxy = deploy.Process(f"proxy-{server_id}", argv, listen_port, log)
         proxy.start()
         self.backends.append(backend)
-        self.proxies.append((proxy, listen, steer))
+        self.proxies.append((proxy, listen_port, fault_port))
 
     def set_link_fault(self, index, mode, direction="both", delay_ms=0):
         """Set the fault on the link to backend *index*."""
@@ -186,11 +186,11 @@
     def send_heartbeats(self):
         """Send the backends' heartbeats until the run ends."""
         while not self.stop_event.wait(HEARTBEAT_INTERVAL_S):
-            for backend, (_, listen, _) in zip(
+            for backend, (_, listen_port, _) in zip(
                 self.backends, self.proxies, strict=False
             ):
                 if not backend.stopped:
-                    self.send_heartbeat(backend, listen)
+                    self.send_heartbeat(backend, listen_port)
 
     def send_heartbeat(self, backend, port):
         """Send one heartbeat; whether a control acknowledged it."""
