--- a/dunlinpoint/agent/__init__.py
+++ b/dunlinpoint/agent/__init__.py
@@ -1,8 +1,8 @@
 """The endpoint agent: one small process beside each endpoint instance.
 
 It announces its endpoint to control by heartbeats under a lease, accepts
-orders from entries over thrift, fronts the local model engine or plain
-service over HTTP, and drains before it leaves.
+entries' requests over thrift, fronts the local model engine or plain service
+over HTTP, and drains before it leaves.
 
 ==================  ==========================================================
 module              contents
--- a/dunlinpoint/agent/keys.py
+++ b/dunlinpoint/agent/keys.py
@@ -13,7 +13,7 @@
 position in the order, the request still reaches one of the two agents. A key is
 forgotten only if both agents are lost while a caller still retries.
 
-Answers are kept for :data:`KEEP_MS`, much longer than callers retry. Running
+Answers are kept for :data:`RETENTION_MS`, much longer than callers retry. Running
 claims and unknown outcomes are never evicted.
 """
 
@@ -26,7 +26,7 @@
 RUNNING = "running"
 DONE = "done"
 UNKNOWN = "unknown"
-KEEP_MS = 3_600_000
+RETENTION_MS = 3_600_000
 # Finished keys that are checked for expiry at each new claim.
 SWEEP_COUNT = 2
 
@@ -67,12 +67,15 @@
             self.done.append(key)
 
     def _sweep(self):
-        """Evict answers older than ``KEEP_MS``."""
+        """Evict answers older than ``RETENTION_MS``."""
         for _ in range(SWEEP_COUNT):
             if not self.done:
                 return
             record = self.by_key.get(self.done[0])
-            if record is not None and self.clock.now() - record.changed_ms < KEEP_MS:
+            if (
+                record is not None
+                and self.clock.now() - record.changed_ms < RETENTION_MS
+            ):
                 return
             key = self.done.popleft()
             if record is not None and record.state == DONE:
--- a/dunlinpoint/agent/rebalance_loop.py
+++ b/dunlinpoint/agent/rebalance_loop.py
@@ -14,7 +14,7 @@
 
 log = logs.logger("agent")
 
-REBALANCE_MS = 1000
+REBALANCE_INTERVAL_MS = 1000
 # Distance between the fencing numbers of consecutive incarnations at one map version.
 FENCE_STRIDE = 1_000_000
 DEFAULT_SKEW_WEIGHT = 0.5
@@ -105,7 +105,7 @@
 
 
 def start_rebalancing(reactor, state):
-    """Consider a rebalance every ``REBALANCE_MS``."""
+    """Consider a rebalance every ``REBALANCE_INTERVAL_MS``."""
 
     def attempt():
         return rebalance_once(state).addErrback(
@@ -114,5 +114,5 @@
 
     loop = task.LoopingCall(attempt)
     loop.clock = reactor
-    loop.start(clock.seconds(REBALANCE_MS), now=False)
+    loop.start(clock.seconds(REBALANCE_INTERVAL_MS), now=False)
     return loop
--- a/dunlinpoint/agent/server.py
+++ b/dunlinpoint/agent/server.py
@@ -1,6 +1,7 @@
 """The agent's thrift handler, its heartbeats to control, and its drain.
 
-Orders from entries:
+Thrift calls from entries (an *order* is the ``GenerateOrder`` or ``CallOrder``
+message of one):
 
 - ``start`` opens a stream and forwards the request to the local engine;
   ``read`` returns the tokens from an offset, waiting up to ``wait_ms`` for
--- a/dunlinpoint/agent/streams.py
+++ b/dunlinpoint/agent/streams.py
@@ -13,7 +13,7 @@
 from dunlinpoint import clock
 
 # How long an ended stream can still be read.
-KEEP_MS = 60_000
+RETENTION_MS = 60_000
 # The oldest streams that are checked for expiry at each new one.
 SWEEP_COUNT = 2
 
@@ -71,7 +71,7 @@
         return stream
 
     def _sweep(self):
-        """Evict streams that ended more than ``KEEP_MS`` ago, among the oldest.
+        """Evict streams that ended more than ``RETENTION_MS`` ago, among the oldest.
 
         Without eviction every response would stay in memory, and the agent would
         exceed its small memory limit within hours.
@@ -80,7 +80,7 @@
         for request_id, stream in list(
             itertools.islice(self.by_id.items(), SWEEP_COUNT)
         ):
-            if stream.ended_ms is not None and now - stream.ended_ms > KEEP_MS:
+            if stream.ended_ms is not None and now - stream.ended_ms > RETENTION_MS:
                 del self.by_id[request_id]
 
     def in_flight(self):
--- a/dunlinpoint/metrics.py
+++ b/dunlinpoint/metrics.py
@@ -20,7 +20,7 @@
 
 # Counts are sent to statsd in one datagram per interval. One datagram per
 # increment cost an entry more system calls than its requests did.
-FLUSH_MS = 1000
+FLUSH_INTERVAL_MS = 1000
 # Histogram bounds, from a round trip between zones to the longest time that callers
 # wait, with finer steps around their latency targets.
 BUCKETS_MS = (2, 5, 10, 20, 50, 80, 120, 200, 300, 400, 600, 1000, 2000, 4000, 8000)
@@ -115,10 +115,10 @@
         self.sent_by_name.update(self.by_name - self.sent_by_name)
 
     def start_flushing(self, reactor):
-        """Flush every ``FLUSH_MS`` and once more when the reactor stops."""
+        """Flush every ``FLUSH_INTERVAL_MS`` and once more when the reactor stops."""
         loop = task.LoopingCall(self.flush)
         loop.clock = reactor
-        loop.start(clock.seconds(FLUSH_MS), now=False)
+        loop.start(clock.seconds(FLUSH_INTERVAL_MS), now=False)
         reactor.addSystemEventTrigger("after", "shutdown", self.flush)
 
 
