--- a/dunlinpoint/agent/server.py
+++ b/dunlinpoint/agent/server.py
@@ -1,7 +1,6 @@
 """The agent's thrift handler, its heartbeats to control, and its drain.
 
-Thrift calls from entries (an *order* is the ``GenerateOrder`` or ``CallOrder``
-message of one):
+Thrift calls from entries (an order is a ``GenerateOrder`` or ``CallOrder`` message):
 
 - ``start`` opens a stream and forwards the request to the local engine;
   ``read`` returns the tokens from an offset, waiting up to ``wait_ms`` for
