--- a/dunlinpoint/lab/load.py
+++ b/dunlinpoint/lab/load.py
@@ -1,9 +1,10 @@
 """The load and experiment tool: runs a local deployment under load and reports.
 
 ``python -m dunlinpoint.lab.load [--profile NAME] [--requests N]`` starts the named
-profile's processes on loopback. It sends model requests whose expert topics drift
-(Hoshizora's pass windows, the Port Dues morning rush) and plain-service calls, and
-applies a new document through ``dunlinctl``. It prints one JSON summary: requests
+profile's processes on loopback. It sends model requests whose expert topics drift as
+in the profile (``pass_windows``, Hoshizora's load: four topics one after another;
+``morning_rush``, the load of Port Dues: one change halfway) and plain-service calls,
+and applies a new document through ``dunlinctl``. It prints one JSON summary: requests
 with a complete answer of their own, latency percentiles (HDR histogram), step-time
 skew, duplicated executions, and the seconds until the new document was in force on
 all processes.
@@ -153,8 +154,8 @@
     """
     agents = sum(1 for name in deployment.by_name if name.startswith("agent-"))
     ports = [p for ps in deployment.entries_by_zone.values() for p in ps]
-    deadline = time.monotonic() + timeout_s
-    while time.monotonic() < deadline:
+    deadline_s = time.monotonic() + timeout_s
+    while time.monotonic() < deadline_s:
         if all(client.get(p, "/v1/status")["members"] >= agents for p in ports):
             return
         time.sleep(0.05)
