--- a/dunlinpoint/control/__init__.py
+++ b/dunlinpoint/control/__init__.py
@@ -1,7 +1,7 @@
 """Control: the configuration document, membership, and durable agreement.
 
 ==============  ==========================================================
-module          holds
+module          contents
 ==============  ==========================================================
 ``membership``  endpoints by id under leases renewed by heartbeats
 ``store``       the acceptor's durable state under the data folder
--- a/dunlinpoint/control/acceptor.py
+++ b/dunlinpoint/control/acceptor.py
@@ -40,13 +40,13 @@
     @classmethod
     def from_message(cls, message):
         """The decision in a ``Document`` message."""
-        named = tuple(voters.Voter.from_message(v) for v in message.voters or ())
+        voting = tuple(voters.Voter.from_message(v) for v in message.voters or ())
         return cls(
             message.round or 0,
             message.version,
             message.change_id,
             message.body,
-            named,
+            voting,
         )
 
     @classmethod
@@ -168,7 +168,7 @@
         return self.accepted is None
 
     @property
-    def votes(self):
+    def is_voter(self):
         """Whether this acceptor is a voter of the next round."""
         return any(v.node_id == self.node_id for v in self.committed.voters)
 
@@ -277,8 +277,8 @@
 
     def next_ballot(self):
         """A ballot above all seen ones that only this instance uses."""
-        rounds = self.highest_ballot // BALLOT_STRIDE + 1
-        self.highest_ballot = rounds * BALLOT_STRIDE + voters.ballot_suffix(
+        counter = self.highest_ballot // BALLOT_STRIDE + 1
+        self.highest_ballot = counter * BALLOT_STRIDE + voters.ballot_suffix(
             self.node_id
         )
         return self.highest_ballot
--- a/dunlinpoint/control/agreement.py
+++ b/dunlinpoint/control/agreement.py
@@ -40,6 +40,8 @@
 READ_ATTEMPTS = 5
 # Attempts of a proposal. A new one is needed when a change of voters takes its round.
 PROPOSE_ATTEMPTS = 3
+# Known round of an instance without a decision: the answer then includes the body of
+# the committed decision, whatever its round.
 NOTHING_KNOWN = -1
 
 
--- a/dunlinpoint/control/discovery.py
+++ b/dunlinpoint/control/discovery.py
@@ -96,15 +96,15 @@
         )
 
     def candidates(self, committed, now):
-        """Candidates: live instances that do not vote and hold recent decisions."""
+        """Live instances that do not vote and hold recent decisions."""
         voting = {v.node_id for v in committed.voters}
-        least = committed.round - voters.MAX_LAG_ROUNDS
+        min_round = committed.round - voters.MAX_LAG_ROUNDS
         return [
             a.voter
             for a in self.recent(now)
             if a.voter.node_id not in voting
             and now - a.received_ms <= voters.UNRESPONSIVE_MS
-            and a.round >= least
+            and a.round >= min_round
         ]
 
     def to_heartbeat(self, committed):
--- a/dunlinpoint/control/followers.py
+++ b/dunlinpoint/control/followers.py
@@ -57,9 +57,9 @@
         """Drop entries that have not polled for ``ENTRY_TIMEOUT_MS``."""
         self.pruned_ms = now
         silent = [
-            e
-            for e, at in self.polled_ms_by_entry.items()
-            if now - at > ENTRY_TIMEOUT_MS
+            entry
+            for entry, polled_ms in self.polled_ms_by_entry.items()
+            if now - polled_ms > ENTRY_TIMEOUT_MS
         ]
         for entry in silent:
             del self.polled_ms_by_entry[entry]
@@ -72,8 +72,8 @@
         sizes = collections.Counter(zone for zone, _ in entries)
         seen = collections.Counter()
         self.position_by_entry = {}
-        for number, entry in enumerate(entries):
+        for index, entry in enumerate(entries):
             zone, _ = entry
-            position = Position(seen[zone], sizes[zone], number, len(entries))
+            position = Position(seen[zone], sizes[zone], index, len(entries))
             self.position_by_entry[entry] = position
             seen[zone] += 1
--- a/dunlinpoint/control/membership.py
+++ b/dunlinpoint/control/membership.py
@@ -130,13 +130,13 @@
             heartbeat
         )
         if changed:
-            self._changed(heartbeat.endpoint_id)
+            self._record_change(heartbeat.endpoint_id)
         elif lease.heartbeat.load != heartbeat.load:
             # A load figure is sent with the next change that routing depends on.
             self.changed_by_id[heartbeat.endpoint_id] = self.revision + 1
         return changed
 
-    def _changed(self, endpoint_id):
+    def _record_change(self, endpoint_id):
         self.revision += 1
         self.changed_by_id[endpoint_id] = self.revision
         self.dropped_by_id.pop(endpoint_id, None)
@@ -165,7 +165,7 @@
             return False
         heartbeat.gone = True
         self.by_id[endpoint_id] = Lease(heartbeat, now + DEPARTED_RETENTION_MS)
-        self._changed(endpoint_id)
+        self._record_change(endpoint_id)
         return True
 
     def expire(self, now):
--- a/dunlinpoint/control/server.py
+++ b/dunlinpoint/control/server.py
@@ -196,7 +196,7 @@
             control_id=self.settings.control_id,
             revision=self.membership.revision,
             unchanged=unchanged,
-            settled=local.settled and local.votes,
+            settled=local.settled and local.is_voter,
             lease_ms=self.membership.lease_ms,
             node_id=local.node_id,
             place=position.zone_index,
@@ -390,7 +390,7 @@
         return state.controls.silent_ms(node_id, now)
 
     voting = local.committed.voters
-    if not local.votes or not voters.is_proposer(local.node_id, voting, silent_ms):
+    if not local.is_voter or not voters.is_proposer(local.node_id, voting, silent_ms):
         return
     candidates = state.controls.candidates(local.committed, now)
     next_voters = voters.next_set(list(voting), candidates, silent_ms)
--- a/dunlinpoint/control/tests/test_changes.py
+++ b/dunlinpoint/control/tests/test_changes.py
@@ -97,7 +97,8 @@
         apply_random_event(control, rng, sequence)
         if rng.random() < 0.4:
             control.poll(follower)
-            # A lease that expired at the follower between polls is renewed by the next.
+            # A member whose lease expired at the follower between polls is listed again
+            # by the next poll.
             control.poll(follower)
             control.state.membership.revision += 1
             control.poll(follower)
--- a/dunlinpoint/control/tests/test_recovery.py
+++ b/dunlinpoint/control/tests/test_recovery.py
@@ -36,10 +36,10 @@
     net.start("c0", disk="new")
     net.catch_up("c0")
     assert net.by_host["c0"].committed.change_id == "first"
-    assert not net.by_host["c0"].votes
+    assert not net.by_host["c0"].is_voter
     assert net.change_voters("c1", ["c0", "c1", "c2"])
     net.catch_up("c0")
-    assert net.by_host["c0"].votes
+    assert net.by_host["c0"].is_voter
     net.cut("c1")
     assert net.propose("c2", 1, "second").accepted
     assert net.by_host["c0"].accepted or net.by_host["c0"].committed.version == 2
@@ -200,9 +200,9 @@
     peers = net.peers("c0")
     link_to = peers.link_to
 
-    def hears_first(host, port):
+    def learn_first(host, port):
         net.by_host["c0"].commit(moved)
         return link_to(host, port)
 
-    peers.link_to = hears_first
+    peers.link_to = learn_first
     assert cluster.result(agreement.read(peers)).change_id == "second"
--- a/dunlinpoint/control/tests/test_reports.py
+++ b/dunlinpoint/control/tests/test_reports.py
@@ -7,7 +7,7 @@
 from dunlinpoint.control import server
 from dunlinpoint.wire.gen.dunlin import ttypes
 
-NOTHING_KNOWN = 0
+NO_REPORTS_REVISION = 0
 REPORT = ttypes.CrashReport(b"d" * 16, "life", 40)
 
 
@@ -52,7 +52,7 @@
 def test_a_new_entry_gets_all_reports(control):
     _, _, handler = control
     handler.report([REPORT])
-    reply = poll(control, NOTHING_KNOWN).result
+    reply = poll(control, NO_REPORTS_REVISION).result
     assert [r.life for r in reply.reports] == ["life"]
 
 
--- a/dunlinpoint/control/tests/test_voters.py
+++ b/dunlinpoint/control/tests/test_voters.py
@@ -61,12 +61,12 @@
     def silent_ms(node_id):
         return voters.UNRESPONSIVE_MS + 1 if node_id == "a" else 0
 
-    turns = [
+    proposers = [
         v.node_id
         for v in (A, B, C)
         if voters.is_proposer(v.node_id, (A, B, C), silent_ms)
     ]
-    assert turns == ["b"]
+    assert proposers == ["b"]
 
 
 def heartbeat(name, number, host=None):
--- a/dunlinpoint/control/voters.py
+++ b/dunlinpoint/control/voters.py
@@ -101,7 +101,7 @@
 def _choose(candidates, voters):
     """The one of *candidates* whose zone has the fewest *voters*."""
     counts = _count_by_zone(voters)
-    return min(candidates, key=lambda w: (counts.get(w.zone, 0), w.node_id))
+    return min(candidates, key=lambda c: (counts.get(c.zone, 0), c.node_id))
 
 
 def _replaced(voters, old, new):
--- a/dunlinpoint/experts/aggregation.py
+++ b/dunlinpoint/experts/aggregation.py
@@ -1,12 +1,13 @@
 """Queries to many ranks at once, through aggregators.
 
-A leader that asks 71 ranks itself occupies its link (4 Mbit/s) for about a fifth of a
-second for their counts, and for as long for a map, judging by the sizes of both. Maps
-were then in force 0.5 to 1.2 s after they were planned, against 0.2 to 0.4 s with
-aggregation. Ranks are therefore divided into subgroups by availability zone. One agent
-of each subgroup, the aggregator, forwards the query to the others and combines their
-answers: sums of counts are sent instead of the counts, and a map is sent once to each
-subgroup. With 8 subgroups of 9 ranks, every link carries what a group of 9 would.
+A leader that asks 71 ranks itself occupies its link (4 Mbit/s) for about 0.2 s with
+their counts, and for as long with a map. Maps were then in force 0.5 to 1.2 s after
+they were planned, against 0.2 to 0.4 s with aggregation.
+
+Ranks are therefore divided into subgroups by availability zone. One agent of each
+subgroup, the aggregator, forwards the query to the others and combines their answers:
+sums of counts are sent instead of the counts, and a map is sent once to each subgroup.
+With 8 subgroups of 9 ranks, every link carries what a group of 9 would.
 
 An aggregator queries each rank anew, so its result is as fresh as an answer by the rank
 itself that took as long. An aggregator that does not answer in time does not aggregate
@@ -25,8 +26,8 @@
 
 log = logs.logger("experts")
 
-# Up to this many ranks (16) are asked directly: what aggregation saves them, 3 KB a
-# reading, is less than the extra hop through another machine takes.
+# Up to this many ranks are asked directly: aggregation saves 16 ranks 3 KB a reading,
+# which takes less time to send than the extra hop through another machine.
 MAX_DIRECT_RANKS = 16
 # How long a rank that did not answer in time is not used as an aggregator.
 AVOID_AGGREGATOR_MS = 5000
@@ -94,7 +95,7 @@
 
 
 def split(peers, count):
-    """Split *peers* into *count* lists of similar size, led by the first *count*."""
+    """Split *peers* into *count* lists of similar size, headed by the first *count*."""
     return [peers[number::count] for number in range(count)]
 
 
--- a/dunlinpoint/experts/dispatcher.py
+++ b/dunlinpoint/experts/dispatcher.py
@@ -43,15 +43,17 @@
     """Time of the last unanswered command."""
 
     clock: clock.Clock
-    at_ms: int | None = None
+    last_ms: int | None = None
 
     def record(self):
         """Record that a command was left unanswered now."""
-        self.at_ms = self.clock.now()
+        self.last_ms = self.clock.now()
 
     def is_recent(self):
         """Whether a command went unanswered within ``UNANSWERED_MS``."""
-        return self.at_ms is not None and self.clock.now() - self.at_ms < UNANSWERED_MS
+        return (
+            self.last_ms is not None and self.clock.now() - self.last_ms < UNANSWERED_MS
+        )
 
 
 @attrs.define
--- a/dunlinpoint/experts/leader.py
+++ b/dunlinpoint/experts/leader.py
@@ -226,7 +226,7 @@
 
 
 def update_mapping(leader, states):
-    """Set the map in force from the ranks' lists; whether it is known."""
+    """Set the map in force from the ranks' lists; return whether it is known."""
     versions = {s.map_version for s in states.values()}
     if len(versions) != 1:
         leader.counters.incr("turn.maps_differ")
--- a/dunlinpoint/experts/placement.py
+++ b/dunlinpoint/experts/placement.py
@@ -19,7 +19,7 @@
 import attrs
 
 # Minimum reduction of the highest load by one more copy, as a share of that load.
-MIN_STEP_GAIN = 0.02
+MIN_GAIN_SHARE = 0.02
 # Number of experts of the most loaded rank that are considered for each change.
 CANDIDATES = 8
 
@@ -207,7 +207,7 @@
         heavy = sorted(self.holders[source], key=self.share, reverse=True)[:CANDIDATES]
         options = [o for e in heavy for o in self._options(source, e, by_load)]
         best = min(options, key=lambda o: o.highest, default=None)
-        if best is None or best.highest > self.load[source] * (1 - MIN_STEP_GAIN):
+        if best is None or best.highest > self.load[source] * (1 - MIN_GAIN_SHARE):
             return None
         best.saved = self.load[source] - best.highest
         return best
--- a/dunlinpoint/experts/switch.py
+++ b/dunlinpoint/experts/switch.py
@@ -23,8 +23,8 @@
 leader, and the leader's own rank is armed last: as long as any other rank is not armed,
 the leader's is not either. The standby first stops answering the leader, which then can
 no longer see all ranks armed, and only then reads the ranks' states (:func:`resolve`).
-Only if all others are armed, a matter of milliseconds, must it wait until the leader's
-rank is reachable.
+Only if all others are armed, a state that lasts milliseconds, must it wait until the
+leader's rank is reachable.
 
 Commands to prepare, arm and disarm may be forwarded by other ranks' agents, which can
 freeze with them and forward them seconds later (:mod:`aggregation`). For the reason
@@ -361,7 +361,8 @@
         armed = yield arm(group, group.others, version, step, epoch)
         armed = armed and (yield arm(group, [LEADER], version, step, epoch))
     finally:
-        # A change that was abandoned counts as set too little ahead.
+        # An abandoned change counts as taking at least the normal distance, as it may
+        # have been set too few steps ahead.
         took_ms = group.now() - start_ms
         group.arming_times.add(took_ms if armed else max(took_ms, AHEAD_MS))
     if armed:
--- a/dunlinpoint/experts/tests/agents.py
+++ b/dunlinpoint/experts/tests/agents.py
@@ -58,7 +58,7 @@
     ranks: simulated.Ranks
     rng: random.Random
     handler_by_port: dict = attrs.field(factory=dict)
-    inbox_by_frozen: dict = attrs.field(factory=dict)
+    inbox_by_frozen_rank: dict = attrs.field(factory=dict)
     dead: set = attrs.field(factory=set)
     slow_ms_by_port: dict = attrs.field(factory=dict)
     messages_by_port: dict = attrs.field(factory=dict)
@@ -82,12 +82,12 @@
 
     def freeze(self, number, for_ms):
         """Suspend the agent's machine; on resuming it handles all its messages."""
-        if number in self.inbox_by_frozen:
+        if number in self.inbox_by_frozen_rank:
             return
-        inbox = self.inbox_by_frozen[number] = []
+        inbox = self.inbox_by_frozen_rank[number] = []
 
         def resume():
-            del self.inbox_by_frozen[number]
+            del self.inbox_by_frozen_rank[number]
             self.rng.shuffle(inbox)
             for deliver in inbox:
                 deliver()
@@ -125,11 +125,11 @@
     def group_client(self, number):
         """Return the client of rank *number*'s agent, as leader or standby."""
         ms_clock = clocks.Clock(self.ranks.clock)
-        found = group_client.GroupClient(
+        client = group_client.GroupClient(
             self.handler_by_port[number], self, ms_clock, metrics.Counters(None)
         )
-        found.member_by_rank = dict(enumerate(self.members()))
-        return found
+        client.member_by_rank = dict(enumerate(self.members()))
+        return client
 
 
 @attrs.define
@@ -160,8 +160,8 @@
                 outer.errback(failure)
 
         def deliver():
-            if self.port in net.inbox_by_frozen:
-                net.inbox_by_frozen[self.port].append(deliver)
+            if self.port in net.inbox_by_frozen_rank:
+                net.inbox_by_frozen_rank[self.port].append(deliver)
                 return
             if self.port in net.dead:
                 if timer.active():
--- a/dunlinpoint/experts/tests/demand.py
+++ b/dunlinpoint/experts/tests/demand.py
@@ -5,8 +5,8 @@
 other experts within one step every few seconds, set by set. The other part depends on
 each request's topic, so that it shows the few prompts that are processed at a time.
 
-:class:`Follower` runs the leader's loop on these readings: a window, a plan, and a map
-that is in force after the time that commands and copies take.
+:class:`SimulatedLeader` runs the leader's loop on these readings: a window, a plan, and
+a map that is in force after the time that commands and copies take.
 """
 
 import random
@@ -23,8 +23,9 @@
 TOPICS = 9
 # Number of prompts processed during one reading.
 PROMPTS = 3
-SKEW = 0.92
-TOKENS = 1_000_000
+# An expert's weight is its position by popularity to the power of minus this.
+POPULARITY_EXPONENT = 0.92
+TOKENS_PER_READING = 1_000_000
 # Duration of a step with even loads, in ms; the share of experts grows with the load.
 EVEN_STEP_MS = 45
 # Factor by which steps take longer while ranks copy.
@@ -33,7 +34,7 @@
 
 def popularity(rng, experts):
     """Return shares by expert, in a newly drawn order of popularity."""
-    weights = [1 / place**SKEW for place in range(1, experts + 1)]
+    weights = [1 / position**POPULARITY_EXPONENT for position in range(1, experts + 1)]
     total = sum(weights)
     rng.shuffle(order := list(range(experts)))
     shares = [0.0] * experts
@@ -56,22 +57,22 @@
     common = [popularity(rng, shape.experts) for _ in range(shape.sets)]
     for number in range(seconds * 1000 // READING_MS):
         if shift_period_ms:
-            every = shift_period_ms // READING_MS // shape.sets
-            if number and number % every == 0:
-                moving = number // every % shape.sets
-                common[moving] = popularity(rng, shape.experts)
+            set_period = shift_period_ms // READING_MS // shape.sets
+            if number and number % set_period == 0:
+                shifted_set = number // set_period % shape.sets
+                common[shifted_set] = popularity(rng, shape.experts)
         prompts = rng.choices(topics, k=PROMPTS)
         counts = []
         for i in range(shape.sets):
             for e in range(shape.experts):
                 topical = sum(topic[i][e] for topic in prompts) / PROMPTS
                 share = COMMON_SHARE * common[i][e] + (1 - COMMON_SHARE) * topical
-                counts.append(int(TOKENS * share))
+                counts.append(int(TOKENS_PER_READING * share))
         yield counts
 
 
 @attrs.define
-class Follower:
+class SimulatedLeader:
     """A leader's loop and its results.
 
     ``cost`` is the mean step duration relative to even loads, ``moved`` the number of
--- a/dunlinpoint/experts/tests/ranks.py
+++ b/dunlinpoint/experts/tests/ranks.py
@@ -70,16 +70,16 @@
     def make_step(self):
         if not self.open:
             return
-        following = self.step + 1
-        if any(rank.held == following for rank in self.by_rank):
+        next_step = self.step + 1
+        if any(rank.held == next_step for rank in self.by_rank):
             return
-        self.step = following
+        self.step = next_step
         for rank in self.by_rank:
-            if rank.armed and rank.armed[1] == following:
+            if rank.armed and rank.armed[1] == next_step:
                 rank.map_version, rank.armed = rank.armed[0], None
         versions = {rank.map_version for rank in self.by_rank}
         if len(versions) > 1:
-            self.mixed.append((following, versions))
+            self.mixed.append((next_step, versions))
 
     def execute(self, number, command):
         rank, kind = self.by_rank[number], command["operation"]
@@ -136,14 +136,14 @@
         return defer.succeed({number: self.state(number) for number in reachable})
 
     def group(self):
-        def pause(ms):
+        def sleep(ms):
             return task.deferLater(self.clock, ms / 1000, lambda: None)
 
         def ask(numbers, body=None):
             return group.ask_each(numbers, body)
 
         group = SimulatedGroup(
-            self.size, ask, self.send, pause, mapping_of=lambda v: []
+            self.size, ask, self.send, sleep, mapping_of=lambda v: []
         )
         group.states = self.states
         return group
@@ -156,8 +156,8 @@
 
     @defer.inlineCallbacks
     def ask_each(self, numbers, body):
-        given = [self.send(number, body) for number in numbers] if body else []
-        statuses = dict(zip(numbers, (yield defer.gatherResults(given)), strict=False))
+        sent = [self.send(number, body) for number in numbers] if body else []
+        statuses = dict(zip(numbers, (yield defer.gatherResults(sent)), strict=False))
         states = yield self.states()
         return {
             number: ttypes.RankAnswer(states[number], statuses.get(number, 0))
--- a/dunlinpoint/experts/tests/test_aggregation.py
+++ b/dunlinpoint/experts/tests/test_aggregation.py
@@ -163,7 +163,7 @@
     for version in range(7, 40, 4):
         for _ in range(2):
             faulty = rng.randrange(2, SIZE)
-            if faulty not in net.inbox_by_frozen and faulty not in net.dead:
+            if faulty not in net.inbox_by_frozen_rank and faulty not in net.dead:
                 fault = rng.choice([net.freeze, net.kill])
                 net.ranks.clock.callLater(
                     rng.uniform(0, 1.5), fault, faulty, rng.randint(200, 2500)
--- a/dunlinpoint/experts/tests/test_demand.py
+++ b/dunlinpoint/experts/tests/test_demand.py
@@ -29,8 +29,10 @@
     # ranks) and 0.82 (many) of that of such a policy on these seeds.
     counts = list(demand.readings(shape, SECONDS, 3000, seed=5))
     capacity = benefit.rank_capacity(shape)
-    found = demand.Follower(shape, ranks, capacity).run(counts)
-    before = demand.Follower(shape, ranks, capacity_for_all(shape), SLOW_HALF_LIFE_MS)
+    found = demand.SimulatedLeader(shape, ranks, capacity).run(counts)
+    before = demand.SimulatedLeader(
+        shape, ranks, capacity_for_all(shape), SLOW_HALF_LIFE_MS
+    )
     before.run(counts)
     assert found.cost < 0.88 * before.cost, (found, before)
     assert found.moved < 1.5 * before.moved
@@ -43,7 +45,7 @@
     # after the first five seconds.
     counts = list(demand.readings(FEW, SECONDS, None, seed=5))
     capacity = benefit.rank_capacity(FEW)
-    found = demand.Follower(FEW, 12, capacity).run(counts)
+    found = demand.SimulatedLeader(FEW, 12, capacity).run(counts)
     first = placement.round_robin(FEW.sets, FEW.experts, 12)
     unchanged = sum(
         placement.step_load(first, by_set(c, FEW))
@@ -71,9 +73,9 @@
     # 0.96, 0.94 and 0.94 of that with decay alone on these seeds.
     counts = list(demand.readings(shape, SECONDS, 3000, seed=5))
     capacity = benefit.rank_capacity(shape)
-    found = demand.Follower(shape, ranks, capacity).run(counts)
+    found = demand.SimulatedLeader(shape, ranks, capacity).run(counts)
     monkeypatch.setattr(window, "MIN_SHIFT", 1.0)
-    decay_only = demand.Follower(shape, ranks, capacity).run(counts)
+    decay_only = demand.SimulatedLeader(shape, ranks, capacity).run(counts)
     assert found.cost < bound * decay_only.cost, (found, decay_only)
 
 
--- a/dunlinpoint/experts/window.py
+++ b/dunlinpoint/experts/window.py
@@ -67,9 +67,9 @@
         group's *epoch* reveals the restart: it changes whenever a rank is lost.
         """
         last, self.last = self.last, counts
-        same = epoch == self.epoch
+        same_epoch = epoch == self.epoch
         self.epoch = epoch
-        if last is None or not same or len(last) != len(counts):
+        if last is None or not same_epoch or len(last) != len(counts):
             return [0] * len(counts)
         growth = [after - before for after, before in zip(counts, last, strict=True)]
         return [0] * len(counts) if min(growth, default=0) < 0 else growth
@@ -107,11 +107,14 @@
 
 @attrs.define
 class Window:
-    """Decayed counts over all ranks, without counts from before a demand shift."""
+    """Decayed counts over all ranks, without counts from before a demand shift.
+
+    ``decayed_to_ms`` is the time as of which the counts have decayed.
+    """
 
     half_life_ms: int = HALF_LIFE_MS
     decayed: list = attrs.field(factory=list)
-    at_ms: int | None = None
+    decayed_to_ms: int | None = None
     detector_by_set: dict = attrs.field(factory=dict)
     shift_count: int = 0
 
@@ -120,12 +123,12 @@
 
         *counts* holds *sets* sets in one flat list.
         """
-        if self.at_ms is None or len(self.decayed) != len(counts):
+        if self.decayed_to_ms is None or len(self.decayed) != len(counts):
             self.decayed = counts
         else:
-            weight = 0.5 ** ((now - self.at_ms) / self.half_life_ms)
+            weight = 0.5 ** ((now - self.decayed_to_ms) / self.half_life_ms)
             self._decay(weight, counts, sets)
-        self.at_ms = now
+        self.decayed_to_ms = now
 
     def _decay(self, weight, counts, sets):
         size = len(counts) // sets
@@ -147,8 +150,8 @@
         after it. Decayed over the duration of the outage, the counts were too few to
         plan by, and the group kept its first map meanwhile.
         """
-        if self.at_ms is not None:
-            self.at_ms = now
+        if self.decayed_to_ms is not None:
+            self.decayed_to_ms = now
 
     def by_set(self, sets):
         """Return the decayed counts by set and expert."""
--- a/dunlinpoint/follow/__init__.py
+++ b/dunlinpoint/follow/__init__.py
@@ -1,7 +1,7 @@
 """The view of the deployment that entries and agents poll from its controls.
 
 ==============  ==========================================================
-module          holds
+module          contents
 ==============  ==========================================================
 ``controls``    the polled control instances, and when they confirmed the document
 ``view``        members by endpoint id, and the document in force
--- a/dunlinpoint/follow/tests/test_view.py
+++ b/dunlinpoint/follow/tests/test_view.py
@@ -33,8 +33,8 @@
 
 
 def document(number, version=1, body=packed.EMPTY, voting=VOTERS):
-    named = [v.to_message() for v in voting]
-    return ttypes.Document(version, f"change-{version}", body, number, named)
+    voter_messages = [v.to_message() for v in voting]
+    return ttypes.Document(version, f"change-{version}", body, number, voter_messages)
 
 
 def test_a_majority_of_voters_must_confirm():
--- a/dunlinpoint/follow/view.py
+++ b/dunlinpoint/follow/view.py
@@ -221,10 +221,10 @@
         known = self.by_id.get(member.endpoint_id)
         if known is None:
             self.by_id[member.endpoint_id] = KnownMember(member, expires_ms)
-            self._changed()
+            self._record_change()
         elif membership.recency(member) >= membership.recency(known.member):
             if selection_fields(member) != selection_fields(known.member):
-                self._changed()
+                self._record_change()
             known.member = member
             known.expires_ms = max(known.expires_ms, expires_ms)
 
@@ -233,11 +233,11 @@
         answered_ms = self.controls.answered_ms()
         if answered_ms is None or answered_ms < now - self.lease_ms:
             return
-        for endpoint_id in [i for i, s in self.by_id.items() if s.expires_ms <= now]:
+        for endpoint_id in [i for i, k in self.by_id.items() if k.expires_ms <= now]:
             del self.by_id[endpoint_id]
-            self._changed()
+            self._record_change()
 
-    def _changed(self):
+    def _record_change(self):
         self.generation += 1
         self.live_by_kind = {}
 
