--- a/dunlinpoint/control/tests/test_voters.py
+++ b/dunlinpoint/control/tests/test_voters.py
@@ -51,10 +51,10 @@
 
 
 def test_lost_voters_are_removed_from_a_large_set():
-    gone = voters.REMOVAL_MS + 1
-    assert next_ids([A, B, C, D, E], [], a=gone, b=gone) == {"c", "d", "e"}
-    assert next_ids([A, B, C, D, E], [], a=gone) is None
-    assert next_ids([A, B, C, D], [], a=gone) == {"b", "c", "d"}
+    lost_ms = voters.REMOVAL_MS + 1
+    assert next_ids([A, B, C, D, E], [], a=lost_ms, b=lost_ms) == {"c", "d", "e"}
+    assert next_ids([A, B, C, D, E], [], a=lost_ms) is None
+    assert next_ids([A, B, C, D], [], a=lost_ms) == {"b", "c", "d"}
 
 
 def test_one_voter_at_a_time_proposes():
--- a/dunlinpoint/experts/__init__.py
+++ b/dunlinpoint/experts/__init__.py
@@ -18,6 +18,6 @@
 ================  ========================================================
 
 The leader is always the agent of rank 0. The group cannot make a step without
-rank 0, so whoever cannot reach rank 0 has no group to lead. No election is
+rank 0, so an agent that cannot reach rank 0 has no group to lead. No election is
 needed, and a partitioned leader cannot compete with another.
 """
--- a/dunlinpoint/experts/aggregation.py
+++ b/dunlinpoint/experts/aggregation.py
@@ -9,9 +9,9 @@
 sums of counts are sent instead of the counts, and a map is sent once to each subgroup.
 With 8 subgroups of 9 ranks, every link carries what a group of 9 would.
 
-An aggregator queries each rank anew, so its result is as fresh as an answer by the rank
-itself that took as long. An aggregator that does not answer in time does not aggregate
-for a while, and the other ranks of its subgroup are asked directly at once.
+An aggregator caches no answers, so its result is as fresh as an answer by the rank
+itself that took as long. An agent that does not answer in time is not used as an
+aggregator for a while, and the other ranks of its subgroup are asked directly at once.
 """
 
 import math
--- a/dunlinpoint/experts/group_client.py
+++ b/dunlinpoint/experts/group_client.py
@@ -43,7 +43,7 @@
     """Client of the ranks of a group, by number once they have answered.
 
     ``on_counts(now, counts)`` is called with each reading of the counts, summed over
-    the ranks.
+    the ranks. ``pending_counts`` holds those received since the last call.
     """
 
     handler: rank.Handler
@@ -55,7 +55,7 @@
     member_by_rank: dict = attrs.field(factory=dict)
     unanswered: dispatcher.UnansweredTracker = attrs.field(init=False)
     bypassed_until_ms_by_rank: dict = attrs.field(factory=dict)
-    counts: list = attrs.field(factory=list)
+    pending_counts: list = attrs.field(factory=list)
     last_reading_ms: int = 0
 
     def __attrs_post_init__(self):
@@ -163,10 +163,10 @@
         if not parts:
             return
         now = self.clock.now()
-        self.counts.extend(parts)
+        self.pending_counts.extend(parts)
         if now - self.last_reading_ms >= MIN_READING_INTERVAL_MS:
-            self.on_counts(now, window.total(self.counts))
-            self.counts, self.last_reading_ms = [], now
+            self.on_counts(now, window.total(self.pending_counts))
+            self.pending_counts, self.last_reading_ms = [], now
 
     @defer.inlineCallbacks
     def send_direct(self, number, own_rank, body):
