--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -94,7 +94,7 @@
     start_cpu_s, start_s = cpu_s(pid), time.monotonic()
     loop = task.LoopingCall(send_all)
     loop.clock = reactor
-    loop.start(agent_server.HEARTBEAT_MS / 1000)
+    loop.start(agent_server.HEARTBEAT_INTERVAL_MS / 1000)
     yield task.deferLater(reactor, seconds, lambda: None)
     loop.stop()
     elapsed_s = time.monotonic() - start_s
--- a/dunlinpoint/agent/server.py
+++ b/dunlinpoint/agent/server.py
@@ -31,7 +31,7 @@
 
 log = logs.logger("agent")
 
-HEARTBEAT_MS = 300
+HEARTBEAT_INTERVAL_MS = 300
 BACKUP_TIMEOUT_MS = 800
 LINGER_MS = 1500
 DRAIN_RETRY_AFTER_MS = 200
@@ -315,10 +315,10 @@
 
 
 def start_heartbeats(reactor, state):
-    """Send a heartbeat every ``HEARTBEAT_MS`` until the reactor stops."""
+    """Send a heartbeat every ``HEARTBEAT_INTERVAL_MS`` until the reactor stops."""
     loop = task.LoopingCall(heartbeat, state)
     loop.clock = reactor
-    loop.start(clock.seconds(HEARTBEAT_MS))
+    loop.start(clock.seconds(HEARTBEAT_INTERVAL_MS))
     return loop
 
 
--- a/dunlinpoint/forward/__init__.py
+++ b/dunlinpoint/forward/__init__.py
@@ -1,7 +1,7 @@
 """Forwards callers' HTTP requests to endpoints unchanged.
 
 ==============  ==========================================================
-module          holds
+module          contents
 ==============  ==========================================================
 ``names``       configurable HTTP header names
 ``routes``      lookup tables for the routes and keys of the document in force
--- a/dunlinpoint/forward/quarantine.py
+++ b/dunlinpoint/forward/quarantine.py
@@ -160,7 +160,7 @@
     for pending in quarantine.pending_by_incarnation.values():
         pending.digests.discard(request_digest)
     suspect = quarantine.known.suspect_by_digest.get(request_digest)
-    if suspect is not None and suspect.ended_ms_by_incarnation:
+    if suspect is not None and suspect.crashed_ms_by_incarnation:
         quarantine.record_local(
             forwarder,
             [sharing.PendingReport(request_digest, "", forwarder.clock.now())],
--- a/dunlinpoint/lab/__init__.py
+++ b/dunlinpoint/lab/__init__.py
@@ -4,7 +4,7 @@
 role as its own ``python -m dunlinpoint`` process on loopback.
 
 ==============  ==========================================================
-module          holds
+module          contents
 ==============  ==========================================================
 ``deploy``      start and stop of the processes of one local deployment
 ``client``      HTTP calls to entries, for the load tool and tests
--- a/dunlinpoint/lab/deploy.py
+++ b/dunlinpoint/lab/deploy.py
@@ -84,14 +84,14 @@
 class Deployment:
     """Processes by name, and the addresses that callers and tools need.
 
-    ``steer_by_agent`` maps an agent to the HTTP port of the proxy in front of it.
+    ``fault_port_by_agent`` maps an agent to the HTTP port of the proxy in front of it.
     """
 
     folder: str
     by_name: dict = attrs.field(factory=dict)
     controls: list = attrs.field(factory=list)
     entries_by_zone: dict = attrs.field(factory=dict)
-    steer_by_agent: dict = attrs.field(factory=dict)
+    fault_port_by_agent: dict = attrs.field(factory=dict)
 
     @classmethod
     def from_profile(cls, profile, folder):
@@ -163,7 +163,7 @@
                 ["proxy", "--listen", str(listen_port), "--steer", str(fault_port)]
                 + ["--target", f"127.0.0.1:{port}"],
             )
-            self.steer_by_agent[f"agent-{name}"] = fault_port
+            self.fault_port_by_agent[f"agent-{name}"] = fault_port
             argv += ["--announce", f"127.0.0.1:{listen_port}"]
         self.add(f"agent-{name}", port, argv)
 
--- a/dunlinpoint/routing/__init__.py
+++ b/dunlinpoint/routing/__init__.py
@@ -4,7 +4,7 @@
 interface and the forwarded one use them.
 
 =====================  ==============================================================
-module                 holds
+module                 contents
 =====================  ==============================================================
 ``pick``               selection of the endpoint for the next attempt
 ``endpoint_order``     the order in which each entry prefers endpoints
--- a/dunlinpoint/soak/__init__.py
+++ b/dunlinpoint/soak/__init__.py
@@ -1,7 +1,7 @@
 """A randomized soak test: real processes, injected faults, checked guarantees.
 
 ==============  ==========================================================
-module          holds
+module          contents
 ==============  ==========================================================
 ``servers``     backends that fail some requests, and what they executed
 ``cluster``     the processes of one run, each on its own loopback address
--- a/dunlinpoint/soak/run.py
+++ b/dunlinpoint/soak/run.py
@@ -34,8 +34,11 @@
     folder: str
 
 
-def play(seed, telling=False):
-    """Run *seed*; its ``Verdict``. With *telling*, three backends send load signals."""
+def run_seed(seed, with_signals=False):
+    """Run *seed*; its ``Verdict``.
+
+    If *with_signals* is set, three backends send load signals.
+    """
     folder = tempfile.mkdtemp(prefix=f"soak-{seed}-")
     cluster = clusters.Cluster.from_seed(folder, seed)
     rng = random.Random(f"callers {seed}")
@@ -51,7 +54,7 @@
             )
             threads.append(threading.Thread(target=caller.run, daemon=True))
             threads[-1].start()
-        if telling:
+        if with_signals:
             signals.assign_signal_periods(seed, cluster.backends, time.monotonic())
         run_schedule(cluster, operator, planned)
         violations += check_recovery(cluster)
@@ -202,7 +205,7 @@
         parser.error(f"give 1 to {MAX_SEEDS} seeds")
     failed = 0
     for seed in seeds:
-        verdict = play(seed, args.telling)
+        verdict = run_seed(seed, args.telling)
         failed += bool(verdict.broken)
         print(json.dumps(attrs.asdict(verdict)), flush=True)
     sys.exit(1 if failed else 0)
--- a/dunlinpoint/suspects/registry.py
+++ b/dunlinpoint/suspects/registry.py
@@ -51,14 +51,14 @@
     before it do not count.
     """
 
-    ended_ms_by_incarnation: dict = attrs.field(factory=dict)
+    crashed_ms_by_incarnation: dict = attrs.field(factory=dict)
     cleared_ms: int | None = None
     changed_ms: int = 0
     revision: int = 0
 
     def suspect_status(self):
         """The ``SuspectStatus`` of the request by the crashes that count."""
-        times = self.ended_ms_by_incarnation.values()
+        times = self.crashed_ms_by_incarnation.values()
         if len(times) < SUSPECTED_CRASHES:
             return SuspectStatus.CLEAR
         is_several_events = max(times) - min(times) >= SAME_EVENT_MS
@@ -71,21 +71,21 @@
         if self.cleared_ms is not None and at_ms <= self.cleared_ms:
             return False
         self.cleared_ms = at_ms
-        for incarnation, ended_ms in list(self.ended_ms_by_incarnation.items()):
+        for incarnation, ended_ms in list(self.crashed_ms_by_incarnation.items()):
             if ended_ms <= at_ms:
-                del self.ended_ms_by_incarnation[incarnation]
+                del self.crashed_ms_by_incarnation[incarnation]
         return True
 
     def record_crash(self, incarnation, at_ms):
         """Record a crash at *at_ms*; return whether that changed anything."""
         if (
-            incarnation in self.ended_ms_by_incarnation
-            or len(self.ended_ms_by_incarnation) >= MAX_INCARNATIONS
+            incarnation in self.crashed_ms_by_incarnation
+            or len(self.crashed_ms_by_incarnation) >= MAX_INCARNATIONS
         ):
             return False
         if self.cleared_ms is not None and at_ms <= self.cleared_ms:
             return False
-        self.ended_ms_by_incarnation[incarnation] = at_ms
+        self.crashed_ms_by_incarnation[incarnation] = at_ms
         return True
 
 
@@ -127,10 +127,10 @@
         else:
             is_changed = suspect.clear(at_ms)
         if is_changed:
-            self._changed(report.digest, suspect, now)
+            self._record_change(report.digest, suspect, now)
         return is_changed
 
-    def _changed(self, digest, suspect, now):
+    def _record_change(self, digest, suspect, now):
         self.revision += 1
         suspect.revision = self.revision
         suspect.changed_ms = now
@@ -164,6 +164,6 @@
     reports = []
     if suspect.cleared_ms is not None:
         reports.append(ttypes.CrashReport(digest, "", now - suspect.cleared_ms))
-    for incarnation, ended_ms in suspect.ended_ms_by_incarnation.items():
+    for incarnation, ended_ms in suspect.crashed_ms_by_incarnation.items():
         reports.append(ttypes.CrashReport(digest, incarnation, now - ended_ms))
     return reports
--- a/tests/integration/test_faults.py
+++ b/tests/integration/test_faults.py
@@ -35,13 +35,15 @@
 @pytest.fixture
 def restore_links(proxied):
     yield
-    for proxy_admin_port in proxied.steer_by_agent.values():
+    for proxy_admin_port in proxied.fault_port_by_agent.values():
         client.fault(proxy_admin_port, "pass")
 
 
 def owner_of(deployment, key):
     ids = [
-        n.removeprefix("agent-") for n in deployment.steer_by_agent if "service" in n
+        n.removeprefix("agent-")
+        for n in deployment.fault_port_by_agent
+        if "service" in n
     ]
     return "agent-" + max(ids, key=lambda i: owners.score(key, i))
 
@@ -57,7 +59,7 @@
     # from agent to entry is held back beyond the entry's timeout; the caller retries
     # with the same key once the link is restored.
     key = "lost-answer-1"
-    proxy_admin_port = proxied.steer_by_agent[owner_of(proxied, key)]
+    proxy_admin_port = proxied.fault_port_by_agent[owner_of(proxied, key)]
     port = proxied.entries_by_zone["z1"][0]
     client.fault(proxy_admin_port, "freeze", "down")
     first = client.call(port, "dues_charge", key, {"vessel": "trawler-3"})
@@ -75,7 +77,7 @@
     # because the entry relays a chunk without checking its request id and offset. Every
     # agent link delays and reorders data by up to 40 ms while 24 requests run
     # concurrently.
-    for name, proxy_admin_port in proxied.steer_by_agent.items():
+    for name, proxy_admin_port in proxied.fault_port_by_agent.items():
         if "engine" in name:
             client.fault(proxy_admin_port, "reorder", "both", 40)
     ports = [p for ps in proxied.entries_by_zone.values() for p in ps]
@@ -109,7 +111,9 @@
     thread = threading.Thread(target=long_request)
     thread.start()
     owner = wait_for(lambda: engine_of(proxied, "cut-1"))
-    proxy_admin_port = proxied.steer_by_agent["agent-" + owner.removesuffix("-backend")]
+    proxy_admin_port = proxied.fault_port_by_agent[
+        "agent-" + owner.removesuffix("-backend")
+    ]
     client.fault(proxy_admin_port, "cut")
     cut_s = time.monotonic()
     thread.join(30)
@@ -165,7 +169,7 @@
     # because its entry keeps routing to unreachable members; and against service calls
     # that are executed by an agent other than the key's owner, as these may run more
     # than once. The links to all agents of z2 are cut while callers use z1's entry.
-    for name, proxy_admin_port in proxied.steer_by_agent.items():
+    for name, proxy_admin_port in proxied.fault_port_by_agent.items():
         if "-z2-" in name:
             client.fault(proxy_admin_port, "cut")
     port = proxied.entries_by_zone["z1"][0]
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -20,7 +20,7 @@
 @pytest.mark.timeout(120)
 @pytest.mark.parametrize("seed", SEEDS + sorted(FAILED))
 def test_no_guarantee_is_violated(seed):
-    verdict = run.play(seed)
+    verdict = run.run_seed(seed)
     assert verdict.broken == []
     assert verdict.answered > verdict.requests / 2
 
@@ -28,6 +28,6 @@
 @pytest.mark.timeout(120)
 @pytest.mark.parametrize("seed", SIGNALLING_SEEDS)
 def test_endpoint_signals_are_obeyed(seed):
-    verdict = run.play(seed, telling=True)
+    verdict = run.run_seed(seed, with_signals=True)
     assert verdict.broken == []
     assert verdict.answered > verdict.requests / 2
