--- a/dunlinpoint/cli/ctl.py
+++ b/dunlinpoint/cli/ctl.py
@@ -299,9 +299,9 @@
             for digest, suspect in found.suspect_by_digest.items():
                 line = {"control": address, "digest": digest.hex()}
                 line["standing"] = suspect.suspect_status().value
-                crashes = suspect.crashed_ms_by_incarnation
                 line["age_ms_by_endpoint"] = {
-                    incarnation: -ended_ms for incarnation, ended_ms in crashes.items()
+                    key: -crashed_ms
+                    for key, crashed_ms in suspect.crashed_ms_by_incarnation.items()
                 }
                 print(json.dumps(line))
         return 0
--- a/dunlinpoint/suspects/registry.py
+++ b/dunlinpoint/suspects/registry.py
@@ -71,8 +71,8 @@
         if self.cleared_ms is not None and at_ms <= self.cleared_ms:
             return False
         self.cleared_ms = at_ms
-        for incarnation, ended_ms in list(self.crashed_ms_by_incarnation.items()):
-            if ended_ms <= at_ms:
+        for incarnation, crashed_ms in list(self.crashed_ms_by_incarnation.items()):
+            if crashed_ms <= at_ms:
                 del self.crashed_ms_by_incarnation[incarnation]
         return True
 
@@ -164,6 +164,6 @@
     reports = []
     if suspect.cleared_ms is not None:
         reports.append(ttypes.CrashReport(digest, "", now - suspect.cleared_ms))
-    for incarnation, ended_ms in suspect.crashed_ms_by_incarnation.items():
-        reports.append(ttypes.CrashReport(digest, incarnation, now - ended_ms))
+    for incarnation, crashed_ms in suspect.crashed_ms_by_incarnation.items():
+        reports.append(ttypes.CrashReport(digest, incarnation, now - crashed_ms))
     return reports
